--- a/src/admit.c
+++ b/src/admit.c
@@ -3,21 +3,21 @@
 
 #include <math.h>
 
-/* limit before the backend server's slots are known */
+/* concurrency limit while the number of slots of the backend server is unknown */
 #define LIMIT_UNKNOWN 16
 /*
- * Share of the slots that is used, per mille: some servers slow down when
- * more than about 95% of their slots are taken, which costs more than the
- * last 5% bring.
+ * Share of the slots that is used, per mille. Some servers slow down when
+ * more than about 95% of their slots are taken, which costs more throughput
+ * than the last 5% add.
  */
 #define LIMIT_PERMILLE 950
-/* a twentieth of fewer slots than these is less than one: none of them is held back */
+/* below this number of slots 5% is less than one slot, so all of them are used */
 #define LIMIT_SMALL 20
-/* shortest and longest time after which a refused caller is asked back, ms */
+/* bounds of the retry-after delay of a refused caller, ms */
 #define RETRY_AFTER_MIN_MS 100
 #define RETRY_AFTER_MAX_MS 2000
 
-/* lw_admit_limit() - most requests at a backend server with @slots slots. */
+/* lw_admit_limit() - concurrency limit of a backend server with @slots slots; 0: unknown. */
 uint32_t lw_admit_limit(uint32_t slots)
 {
 	uint32_t limit = (uint32_t)((uint64_t)slots * LIMIT_PERMILLE / 1000);
@@ -27,7 +27,7 @@
 	return slots < LIMIT_SMALL ? slots : limit;
 }
 
-/* time until a slot of the backend server is free for a request that comes now */
+/* time until the backend server has a free slot for a request that arrives now, ms */
 static uint32_t slot_wait_ms(const lw_admit_state_t *st)
 {
 	uint64_t ahead = st->ahead;
@@ -37,7 +37,7 @@
 	return (uint32_t)((ahead + 1) * st->load.service_us / st->load.limit / 1000);
 }
 
-/* lw_admit_expected_wait_ms() - time until a request that comes now starts. */
+/* lw_admit_expected_wait_ms() - time until a request that arrives now starts executing. */
 uint32_t lw_admit_expected_wait_ms(const lw_admit_state_t *st)
 {
 	uint32_t slot_ms = slot_wait_ms(st);
@@ -45,7 +45,7 @@
 	return slot_ms > st->rate_wait_ms ? slot_ms : st->rate_wait_ms;
 }
 
-/* lw_admit_wait_ms() - how long the request may wait before it is handed back. */
+/* lw_admit_wait_ms() - how long the request may stay queued before it is rejected unexecuted. */
 uint32_t lw_admit_wait_ms(const lw_admit_state_t *st, const lw_ask_t *ask)
 {
 	uint32_t service_ms = st->load.service_us / 1000;
@@ -54,7 +54,10 @@
 	return ask->queue_ms < left ? ask->queue_ms : left;
 }
 
-/* lw_admit() - LW_FAIL_NONE if the request may run or wait, else why not. */
+/*
+ * lw_admit() - LW_FAIL_NONE if the request may start or wait in the queue,
+ * else the reason for its rejection.
+ */
 lw_fail_t lw_admit(const lw_admit_state_t *st, const lw_ask_t *ask)
 {
 	uint32_t wait = lw_admit_expected_wait_ms(st);
@@ -67,8 +70,9 @@
 }
 
 /*
- * lw_admit_retry_after_ms() - when room is expected: the time in which the
- * backend server works off what waits now.
+ * lw_admit_retry_after_ms() - the retry-after delay: the expected time in
+ * which the backend server completes the requests that are executing or
+ * queued now.
  */
 uint32_t lw_admit_retry_after_ms(const lw_load_t *load)
 {
--- a/src/admit.h
+++ b/src/admit.h
@@ -1,8 +1,8 @@
 /*
- * Admission at the backend server, without I/O. Load pattern: a burst that
- * the backend server cannot run at once. A request waits only as long as its
- * answer is still of use; one that would wait longer is refused at once, so
- * that its caller can go elsewhere while there is time.
+ * Admission control of the local backend server, for bursts that exceed its
+ * capacity. A request is queued only while its answer is still useful; a
+ * request that would wait longer is rejected at once, so that its caller has
+ * time left to try another backend server. No I/O.
  */
 #ifndef LW_ADMIT_H
 #define LW_ADMIT_H
@@ -13,9 +13,8 @@
 
 typedef struct lw_admit_state {
 	lw_load_t load;
-	uint32_t ahead; /* waiting requests that would start before this one */
-	uint32_t
-		rate_wait_ms; /* until it may start by the backend server's limit of requests a second */
+	uint32_t ahead; /* queued requests that would start before this one */
+	uint32_t rate_wait_ms; /* wait imposed by the announced rate limit */
 } lw_admit_state_t;
 
 uint32_t lw_admit_limit(uint32_t slots);
--- a/src/level.c
+++ b/src/level.c
@@ -4,36 +4,44 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* weight of one more step in the ranks that arrive: about half a second of memory */
+/*
+ * Weight of a new step in the moving averages of arrivals by rank, which
+ * cover about half a second.
+ */
 #define STEP_EWMA 0.25f
 /*
- * The same for how much arrives: at the onset of a burst the queue grows by a
- * second's work in a second, and every request begun by then is late.
+ * Weight of a new step in the moving average of the demand. It is higher than
+ * STEP_EWMA, because at the onset of a burst the queue grows by one second of
+ * work per second, and every request started by then is late.
  */
 #define DEMAND_EWMA 0.5
 /*
- * A queue that takes longer than this to start shows that more arrives than
- * can run: a fixed part, ms, and a part of the time a request runs, as longer
- * runs make longer queues by chance alone.
+ * A longer queueing delay than this means that more requests arrive than can
+ * be executed. The threshold is a fixed part in ms plus a part of the service
+ * time, as long service times make queues longer by chance alone.
  */
 #define WAIT_HIGH_MS	  15.0
 #define WAIT_HIGH_SERVICE 0.5
-/* below this part of that wait there is room */
+/* below this part of that threshold there is spare capacity */
 #define WAIT_LOW_PART 0.35
-/* the share of the limit that arrivals may need after a cut */
+/* demand that is aimed at after the level was lowered, as a part of the limit */
 #define DEMAND_TARGET 0.92
-/* a queue is to be worked off in this time, beside what arrives, ms */
+/* time in which a queue is to be worked off in addition to new arrivals, ms */
 #define QUEUE_DRAIN_MS 600.0
-/* one step cuts at most to this part of the arrivals */
+/*
+ * Bounds of the part of the arrivals that is still admitted after the level
+ * was lowered in one step.
+ */
 #define CUT_TO_MIN 0.4
 #define CUT_TO_MAX 0.95
 /*
- * Steps until a cut shows here: requests that began before it still make
- * their calls. Cutting again earlier cuts twice for the same queue.
+ * Steps until a lower level shows an effect here: requests that were admitted
+ * before still make their calls. Lowering the level again earlier would react
+ * to the same queue twice.
  */
 #define HOLD_STEPS 4
 
-/* lw_rank() - the rank of a user request; a lower one is refused later. */
+/* lw_rank() - the rank of a user request; requests of lower ranks are refused last. */
 uint32_t lw_rank(uint32_t priority, lw_str_t request_id)
 {
 	uint32_t p = priority < LW_PRIORITIES_MAX ? priority : LW_PRIORITIES_MAX - 1;
@@ -42,14 +50,14 @@
 	       (uint32_t)(XXH3_64bits(request_id.ptr, request_id.len) % LW_RANKS_PER_PRIORITY);
 }
 
-/* lw_level_init() - nothing is refused. */
+/* lw_level_init() - start with a level that admits all requests. */
 void lw_level_init(lw_level_t *l)
 {
 	memset(l, 0, sizeof(*l));
 	l->level = LW_LEVEL_ADMIT_ALL;
 }
 
-/* lw_level_arrival() - a request of @rank, or a call made for it, came here. */
+/* lw_level_arrival() - count the arrival of a user request of @rank, or of a call made for it. */
 void lw_level_arrival(lw_level_t *l, uint32_t rank)
 {
 	uint32_t bin = rank / LW_LEVEL_BIN;
@@ -70,7 +78,7 @@
 	l->demand += DEMAND_EWMA * (need / in->limit - l->demand);
 }
 
-/* the level under which @part of the recent arrivals lie */
+/* the level below which @part of the recent arrivals have their ranks */
 static uint32_t level_for(const lw_level_t *l, double part)
 {
 	double total = 0, sum = 0;
@@ -107,7 +115,7 @@
 	l->hold_steps = HOLD_STEPS;
 }
 
-/* ranks to open in one step, by how much room there is */
+/* by how many ranks to raise the level in one step at this demand */
 static uint32_t raise_by(double demand)
 {
 	if (demand < 0.5)
@@ -129,7 +137,7 @@
 	for (uint32_t i = 0; i < LW_LEVEL_BINS; i++)
 		if (l->rank_average[i] > 0.01f)
 			top = (i + 1) * LW_LEVEL_BIN;
-	/* past the least urgent requests there are, nothing is refused any more */
+	/* above the ranks of all recent arrivals there is nothing left to refuse */
 	if (l->level > top + LW_RANKS_PER_PRIORITY)
 		l->level = LW_LEVEL_ADMIT_ALL;
 }
--- a/src/level.h
+++ b/src/level.h
@@ -1,15 +1,16 @@
 /*
- * The admission level of a backend server: which new requests of the fleet
- * may still be started although their work ends up here. Load pattern: a
- * service deep in the call graph is the bottleneck. A request refused there
- * has already cost everything above it, so it must be refused at its root,
- * and urgent ones last.
+ * The admission level of a backend server, for load whose bottleneck is a
+ * service deep in the call graph. A request that is refused at such a service
+ * has already cost work at every service above it. Therefore it is refused at
+ * the node where the user request enters, and requests of urgent priorities
+ * are refused last.
  *
- * Every user request has a rank: its priority, and within it a number drawn
- * from its id, so that all nodes rank it alike. The level is the first rank
- * that is refused. It is told with every answer and passed on up the call
- * graph to the nodes where requests begin (overload control for microservices
- * by Zhou et al., SoCC 2018, without its fixed user priorities). No I/O.
+ * Every user request has a rank: its priority, and within the priority a
+ * number derived from the request id, so that all nodes assign the same rank.
+ * The level is the lowest rank that is refused. Answers report it, and it is
+ * passed up the call graph to the nodes where user requests enter (overload
+ * control for microservices by Zhou et al., SoCC 2018, without its fixed user
+ * priorities). No I/O.
  */
 #ifndef LW_LEVEL_H
 #define LW_LEVEL_H
@@ -19,13 +20,16 @@
 
 #include "lwstr.h"
 
-/* Ranks within one priority. */
+/* Number of ranks within one priority. */
 #define LW_RANKS_PER_PRIORITY 1000
 #define LW_PRIORITIES_MAX     8
-/* This level refuses nothing. */
+/* This level admits all requests. */
 #define LW_LEVEL_ADMIT_ALL (LW_RANKS_PER_PRIORITY * LW_PRIORITIES_MAX)
 
-/* Nothing but a few of the most urgent is admitted: they show when room is back. */
+/*
+ * Lowest level. It still admits a few of the most urgent requests, which show
+ * when capacity is available again.
+ */
 #define LW_LEVEL_MIN 100
 
 /* Width of a histogram bin, in ranks. */
@@ -37,14 +41,14 @@
 
 typedef struct lw_level {
 	uint32_t level;
-	float rank_average[LW_LEVEL_BINS]; /* recent arrivals by rank, per step */
-	uint32_t arrivals; /* in this step */
-	uint16_t rank_count[LW_LEVEL_BINS]; /* the same by rank */
-	double demand; /* moving average: slots that the arrivals need, over the limit */
-	uint32_t hold_steps; /* steps before the level may be lowered again */
+	float rank_average[LW_LEVEL_BINS]; /* moving average of arrivals per step, by rank */
+	uint32_t arrivals; /* arrivals in the current step */
+	uint16_t rank_count[LW_LEVEL_BINS]; /* arrivals in the current step, by rank */
+	double demand; /* moving average of the slots that the arrivals need, divided by the limit */
+	uint32_t hold_steps; /* steps until the level may be lowered again */
 } lw_level_t;
 
-/* What a step looks at. */
+/* Input of lw_level_step(). */
 typedef struct lw_level_input {
 	uint32_t queued;
 	uint32_t running;
--- a/src/overload.c
+++ b/src/overload.c
@@ -1,4 +1,4 @@
-/* Levels of services along routes; see hotpath.h. */
+/* Admission levels of the services behind each route; see overload.h. */
 #include "overload_int.h"
 
 #include <stdlib.h>
@@ -7,40 +7,45 @@
 #include "xalloc.h"
 
 /*
- * Weight of one more told level: several servers of a service tell their own.
- * News that comes seldom weighs more, by the time since the last, us: a node
- * that admits two requests a second would else follow after five seconds. A
- * level that falls counts more: what is let in too much is late or lost.
+ * Weight of a newly reported level; each server of a service reports its own.
+ * Reports that arrive seldom weigh more, according to the time since the last
+ * one (LEVEL_HALF_US): a node that admits two requests per second would
+ * otherwise lag five seconds behind. A lower level weighs more (LEVEL_FAST),
+ * because requests that are admitted in excess end late or are lost.
  */
 #define LEVEL_EWMA    0.2
 #define LEVEL_FAST    0.5
 #define LEVEL_HALF_US 400000
 /*
- * Without news a level rises again, so that a route of which nothing is
- * admitted is tried after a while. Age of news that counts as none, us, and
- * ranks it rises for each millisecond after that.
+ * Without reports a level rises again, so that a route of which no request is
+ * admitted is tried after a while. A report older than REPORT_STALE_US counts
+ * as none; from then on the level rises by RISE_PER_MS ranks per millisecond.
  */
 #define REPORT_STALE_US 300000
 #define RISE_PER_MS	1
-/* after so long without news the next level told is taken as it is, us */
+/* after this time without a report the next level reported replaces the stored one, us */
 #define REPORT_EXPIRED_US 1000000
 /*
- * A service that had no reachable server at all has one again at once when its
- * node is back, and nothing tells: its level rises so many times as fast.
+ * A service that had no reachable server at all is available at once when its
+ * node is back, and nothing reports that: its level rises this many times as
+ * fast.
  */
 #define RISE_FROM_MIN_FACTOR 6
-/* heard news must be newer than what is known by this: ages are whole ms, us */
+/*
+ * A report of another node is used only if it is newer than the stored one by
+ * this much, as reported ages are whole milliseconds. In microseconds.
+ */
 #define REPORT_NEWER_US 2000
-/* routes of which the levels are kept; more are refused by their server only */
+/* most routes whose levels are kept; requests of further routes are refused by the servers only */
 #define ROUTES_MAX 4096
 
-/* lw_hotpath_new() - nothing is refused. */
+/* lw_overload_new() - an empty state, which refuses nothing. */
 lw_overload_t *lw_overload_new(void)
 {
 	return xcalloc(1, sizeof(lw_overload_t));
 }
 
-/* lw_hot_service_of() - the service @name, made if it is new. */
+/* lw_overload_service_get() - the service @name, created if it does not exist. */
 lw_overload_service_t *lw_overload_service_get(lw_overload_t *p, const char *name)
 {
 	lw_overload_service_t *s;
@@ -68,7 +73,7 @@
 	return r;
 }
 
-/* where to note one more service: a free place, a forgotten one, or that of the highest level */
+/* the slot for one more service: a free one, an expired one, or the one with the highest level */
 static int slot_on_route(const lw_overload_route_t *r, uint64_t now_us)
 {
 	int highest = 0;
@@ -83,7 +88,7 @@
 	return highest;
 }
 
-/* lw_hot_leads_to() - the work of the route leads to the service, as just told. */
+/* lw_overload_route_add_service() - record that requests of the route lead to the service. */
 void lw_overload_route_add_service(lw_overload_route_t *r, lw_overload_service_t *s,
 				   uint64_t now_us)
 {
@@ -101,7 +106,7 @@
 	r->downstream[slot].work_us = 0;
 }
 
-/* the level as it is now: without news it has risen */
+/* the level at @now_us; it rises without reports */
 static double current_level(const lw_overload_service_t *s, uint64_t now_us)
 {
 	uint64_t age = now_us - s->updated_us;
@@ -125,8 +130,9 @@
 }
 
 /*
- * A service that refuses nothing is told as one that refuses a priority less:
- * a caller that has seen little of it may be wrong.
+ * The reported level, at most one priority above the current one: a caller of
+ * a service that reports LW_LEVEL_ADMIT_ALL may have seen only a small part
+ * of it.
  */
 static double capped_level(const lw_service_level_t *hot, double level)
 {
@@ -146,8 +152,9 @@
 }
 
 /*
- * lw_hotpath_tell() - the levels below LW_LEVEL_OPEN that this node has fresh
- * news of, for other nodes; at most @most of them. Returns how many.
+ * lw_overload_report() - write to @out the levels below LW_LEVEL_ADMIT_ALL
+ * that were reported to this node lately, for other nodes; at most @most of
+ * them. Returns how many.
  */
 uint32_t lw_overload_report(const lw_overload_t *p, uint64_t now_us, lw_level_report_t *out,
 			    uint32_t most)
@@ -169,10 +176,12 @@
 }
 
 /*
- * lw_hotpath_heard() - another node told a level. Newer news replaces older, so
- * that it spreads with whatever answers come next: by the answers of the
- * requests that met the full service alone, a root four services above it
- * heard only when these were over, after a second and a half in a full queue.
+ * lw_overload_on_report() - another node reported a level. A newer report
+ * replaces an older one, so that it reaches other nodes with any answer that
+ * is sent next. By the answers of the requests that reached the overloaded
+ * service alone, an entry node four services above it would learn of the
+ * overload only when those requests end, after a second and a half in a full
+ * queue.
  */
 void lw_overload_on_report(lw_overload_t *p, const lw_level_report_t *h, uint64_t now_us)
 {
@@ -186,8 +195,9 @@
 }
 
 /*
- * lw_hotpath_told() - an answer on @route came with the levels of the
- * services its work led to, and with the levels of calls below it.
+ * lw_overload_on_answer() - an answer on @route reported the levels of the
+ * services on its call path and @depth, the number of levels of calls below
+ * it.
  */
 void lw_overload_on_answer(lw_overload_t *p, const char *route, const lw_path_levels_t *hots,
 			   uint32_t depth, uint64_t now_us)
@@ -209,8 +219,8 @@
 }
 
 /*
- * lw_hotpath_admits() - false if a service that @route leads to could not
- * finish a request of @rank; @by tells which one and its level.
+ * lw_overload_admits() - false if a service that @route leads to could not
+ * complete a request of @rank; @by is then set to that service and its level.
  */
 bool lw_overload_admits(const lw_overload_t *p, const char *route, uint32_t rank, uint64_t now_us,
 			lw_service_level_t *by)
--- a/src/overload.h
+++ b/src/overload.h
@@ -1,7 +1,9 @@
 /*
- * What a node knows of the admission levels of services, which routes lead to
- * them, and how deep a route's calls go. A node where requests begin refuses one there that the
- * services behind it could not finish. No I/O; the time is given.
+ * Overload of the services behind each route: the admission levels of
+ * services, the services that the requests of a route lead to, and the depth
+ * of its call graph. The node where a user request enters refuses the request
+ * if one of these services could not complete it. No I/O; the caller passes
+ * the time.
  */
 #ifndef LW_OVERLOAD_H
 #define LW_OVERLOAD_H
@@ -12,14 +14,14 @@
 #include "lwstr.h"
 #include "platconf.h"
 
-/* The first rank that a service on a path refuses. */
+/* Admission level of a service on the call path: the lowest rank that it refuses. */
 typedef struct lw_service_level {
 	char service[LW_NAME_MAX];
 	uint32_t level;
-	uint32_t work_us; /* time that the request and its calls ran there */
+	uint32_t work_us; /* execution time of the request and its calls at the service */
 } lw_service_level_t;
 
-/* More levels than these on one path are left out, the highest first. */
+/* Most services in lw_path_levels_t; those with the highest levels are left out. */
 #define LW_PATH_LEVELS_MAX 8
 
 typedef struct lw_path_levels {
@@ -27,7 +29,7 @@
 	uint32_t n;
 } lw_path_levels_t;
 
-/* A level as one node tells it to others, with the age of its news. */
+/* An admission level as one node reports it to other nodes, with the age of the report. */
 typedef struct lw_level_report {
 	char service[LW_NAME_MAX];
 	uint32_t level;
--- a/src/overload_int.h
+++ b/src/overload_int.h
@@ -1,4 +1,6 @@
-/* Shared by the files of the hotpath module only; others use hotpath.h. */
+/*
+ * Private to the files of the overload module; others use overload.h.
+ */
 #ifndef LW_OVERLOAD_INT_H
 #define LW_OVERLOAD_INT_H
 
@@ -7,31 +9,31 @@
 #include "overload.h"
 #include "level.h"
 
-/* a route that was not led to a service for so long does not lead there, us */
+/* a route no longer leads to a service after no request has reached it for this time, us */
 #define ROUTE_EXPIRES_US 3000000
 
 typedef struct lw_overload_service {
 	char name[LW_NAME_MAX];
 	double level;
 	uint64_t updated_us;
-	bool known; /* a level was told */
-	struct { /* by priority: the route that makes the most work there */
+	bool known; /* a level has been reported */
+	struct { /* by priority: the route whose requests cause the most work at the service */
 		const struct lw_overload_route *route;
 		double work_us;
 		uint64_t seen_us;
 	} most[LW_PRIORITIES_MAX];
-	bool at_min; /* as told last */
+	bool at_min; /* the last report said LW_LEVEL_MIN or less */
 	UT_hash_handle hh;
 } lw_overload_service_t;
 
 typedef struct lw_overload_route {
 	char name[LW_NAME_MAX];
-	uint32_t depth; /* levels of calls below a request, the most seen */
-	uint32_t retry_used; /* per mille of the repeats allowed that its calls use */
+	uint32_t depth; /* deepest level of calls below a request seen so far */
+	uint32_t retry_used; /* per mille of the retry allowance that its calls use */
 	struct {
 		lw_overload_service_t *service;
 		uint64_t seen_us;
-		double work_us; /* moving average: time a request and its calls run there */
+		double work_us; /* moving average: execution time of a request and its calls at the service */
 	} downstream[LW_PATH_LEVELS_MAX];
 	UT_hash_handle hh;
 } lw_overload_route_t;
--- a/src/overloadcost.c
+++ b/src/overloadcost.c
@@ -1,13 +1,17 @@
-/* What the requests of a route cost at the services it leads to; see hotpath.h. */
+/* What the requests of a route cost at the services it leads to; see overload.h. */
 #include "overload_int.h"
 
-/* one answer lowers the told use of the allowance by this part (1/n) of the difference */
+/*
+ * An answer that reports a lower use of the retry allowance reduces the
+ * stored use by this part (1/n) of the difference.
+ */
 #define USED_DECAY 10
-/* weight of one more request in the work its route makes at a service */
+/* weight of a new request in the moving average of the work that a route causes at a service */
 #define WORK_EWMA 0.05
 /*
- * Ranks are lowered to this part at most: of the kind that costs the most at
- * least a third as many are let in as of any other of its priority.
+ * Ranks are multiplied by this factor at least: of the requests that cost the
+ * most, at least a third as many are admitted as of any others of the same
+ * priority.
  */
 #define WEIGHT_MIN 0.34
 
@@ -16,7 +20,10 @@
 	return priority < LW_PRIORITIES_MAX ? priority : LW_PRIORITIES_MAX - 1;
 }
 
-/* the average work of @r at @s is @work_us now: is that the most of its priority? */
+/*
+ * Record @r as the route with the most work at @s if its average @work_us is
+ * the highest of @priority.
+ */
 static void update_heaviest(lw_overload_service_t *s, uint32_t priority,
 			    const lw_overload_route_t *r, double work_us, uint64_t now_us)
 {
@@ -44,8 +51,9 @@
 }
 
 /*
- * lw_hotpath_worked() - a user request on @route was served; @hots tells how
- * long it and its calls ran at services that refuse some.
+ * lw_overload_add_work() - a user request on @route was answered; @hots has
+ * the execution time of the request and its calls at services that refuse
+ * some requests.
  */
 void lw_overload_add_work(lw_overload_t *p, const char *route, uint32_t priority,
 			  const lw_path_levels_t *hots, uint64_t now_us)
@@ -64,10 +72,11 @@
 }
 
 /*
- * lw_hotpath_weighed() - @rank, drawn from a request's id, lowered within its
- * priority for a route whose requests make less work than others at the
- * services that are full: for what one lookup with eight calls to a leaf
- * costs, two and a half confirmations that run there once can be served.
+ * lw_overload_weighted_rank() - lower @rank, which is derived from the
+ * request id, within its priority for a route whose requests cause less work
+ * at the overloaded services than those of other routes. For the cost of one
+ * lookup that makes eight calls to a leaf service, two and a half
+ * confirmations that are executed there once can be served.
  */
 uint32_t lw_overload_weighted_rank(const lw_overload_t *p, const char *route, uint32_t rank,
 				   uint64_t now_us)
@@ -95,7 +104,7 @@
 	return priority * LW_RANKS_PER_PRIORITY + (uint32_t)(within * part);
 }
 
-/* lw_hotpath_depth() - levels of calls below a request on @route, as far as seen. */
+/* lw_overload_call_depth() - levels of calls below a request on @route, as far as observed. */
 uint32_t lw_overload_call_depth(const lw_overload_t *p, const char *route)
 {
 	const lw_overload_route_t *r;
@@ -105,9 +114,9 @@
 }
 
 /*
- * lw_hotpath_used() - an answer on @route told how much of the allowance the
- * calls below use. The most of any path counts; it fades with answers that
- * tell less.
+ * lw_overload_add_retry_used() - an answer on @route reported that the calls
+ * below use @permille of the retry allowance. The highest value of any call
+ * path counts; it decays with answers that report less.
  */
 void lw_overload_add_retry_used(lw_overload_t *p, const char *route, uint32_t permille)
 {
@@ -122,7 +131,7 @@
 		r->retry_used -= (r->retry_used - permille + USED_DECAY - 1) / USED_DECAY;
 }
 
-/* lw_hotpath_retry_used() - per mille of the allowance that calls below @route use. */
+/* lw_overload_retry_used() - per mille of the retry allowance that the calls below @route use. */
 uint32_t lw_overload_retry_used(const lw_overload_t *p, const char *route)
 {
 	const lw_overload_route_t *r;
--- a/src/pathlevels.c
+++ b/src/pathlevels.c
@@ -1,4 +1,4 @@
-/* The levels of the services on one path; see hotpath.h. */
+/* The admission levels of the services on one call path; see overload.h. */
 #include <string.h>
 
 #include "overload.h"
@@ -11,7 +11,7 @@
 	return NULL;
 }
 
-/* the place for one more: where there is none, that of the highest level */
+/* a free slot, or that of the highest level if it is higher than @level; NULL if there is none */
 static lw_service_level_t *slot_for(lw_path_levels_t *h, uint32_t level)
 {
 	lw_service_level_t *highest = &h->hot[0];
@@ -25,9 +25,10 @@
 }
 
 /*
- * lw_hots_add() - note the level of a service on the path, also one that
- * refuses nothing: before it does, the roots know what leads to it. Of one that
- * is noted already the lower level counts, and the work adds up.
+ * lw_path_levels_add() - add the level of a service on the call path.
+ * Services that refuse nothing are added as well, so that entry nodes know
+ * which routes lead to a service before it is overloaded. If the service is
+ * present already, the lower level is kept and the work is added up.
  */
 void lw_path_levels_add(lw_path_levels_t *h, const lw_service_level_t *hot)
 {
--- a/src/ratelimit.c
+++ b/src/ratelimit.c
@@ -1,11 +1,11 @@
-/* A backend server's limit of requests a second; see pace.h. */
+/* Rate limit of a backend server; see ratelimit.h. */
 #include "ratelimit.h"
 
 #include <math.h>
 
-/* a bucket holds what comes in in this time, in seconds, and one request more */
+/* the bucket holds the tokens of this time, in seconds, plus one */
 #define BURST_S 0.5
-/* longest wait that is told, ms */
+/* longest wait that is returned, ms */
 #define WAIT_MAX_MS 3600000.0
 
 static double bucket_size(const lw_ratelimit_t *p)
@@ -23,8 +23,9 @@
 }
 
 /*
- * lw_pace_set() - the limit is @per_s from now on, or there is none. A bucket begins
- * empty: a process that starts anew does not know what the one before let in.
+ * lw_ratelimit_set() - set the limit to @per_s requests per second, or remove
+ * it if @on is false. A new bucket is empty: a restarted process does not
+ * know how many requests its predecessor admitted.
  */
 void lw_ratelimit_set(lw_ratelimit_t *p, bool on, double per_s, uint64_t now_us)
 {
@@ -38,7 +39,7 @@
 	advance(p, now_us);
 }
 
-/* lw_pace_ready() - whether a request may start now. */
+/* lw_ratelimit_ready() - whether a request may start now. */
 bool lw_ratelimit_ready(lw_ratelimit_t *p, uint64_t now_us)
 {
 	if (!p->on)
@@ -47,7 +48,7 @@
 	return p->tokens >= 1;
 }
 
-/* lw_pace_take() - a request starts. */
+/* lw_ratelimit_take() - a request starts. */
 void lw_ratelimit_take(lw_ratelimit_t *p, uint64_t now_us)
 {
 	if (!p->on)
@@ -56,7 +57,7 @@
 	p->tokens -= 1;
 }
 
-/* lw_pace_wait_ms() - time until a request with @ahead others in front of it may start. */
+/* lw_ratelimit_wait_ms() - time until a request with @ahead others in front of it may start. */
 uint32_t lw_ratelimit_wait_ms(lw_ratelimit_t *p, uint32_t ahead, uint64_t now_us)
 {
 	double missing;
@@ -70,7 +71,10 @@
 	return (uint32_t)fmin(p->per_s > 0 ? missing * 1000 / p->per_s : WAIT_MAX_MS, WAIT_MAX_MS);
 }
 
-/* lw_pace_slots() - requests that run at once at this rate, if each takes @service_us; at least 1. */
+/*
+ * lw_ratelimit_slots() - requests that execute concurrently at this rate if
+ * each takes @service_us; at least 1.
+ */
 uint32_t lw_ratelimit_slots(const lw_ratelimit_t *p, double service_us)
 {
 	double slots = p->on ? ceil(p->per_s * service_us / 1e6) : UINT32_MAX;
--- a/src/ratelimit.h
+++ b/src/ratelimit.h
@@ -1,8 +1,9 @@
 /*
- * The requests a second that a backend server takes from all hosts together, as a
- * token bucket in front of it. Load pattern: a server in need names a limit below
- * what is sent to it. What does not fit waits a little or goes elsewhere. No I/O;
- * the time is given.
+ * Limit of the requests per second that a backend server accepts from all
+ * hosts together, as a token bucket in front of it. A server in difficulties
+ * announces a limit below the load that is sent to it; requests above the
+ * limit wait for a short time or go to another server. No I/O; the caller
+ * passes the time.
  */
 #ifndef LW_RATELIMIT_H
 #define LW_RATELIMIT_H
@@ -11,10 +12,10 @@
 #include <stdint.h>
 
 typedef struct lw_ratelimit {
-	bool on; /* there is a limit */
+	bool on; /* a limit is set */
 	double per_s;
 	double tokens; /* requests that may start at once */
-	uint64_t updated_us; /* of which time */
+	uint64_t updated_us; /* time at which tokens was computed */
 } lw_ratelimit_t;
 
 void lw_ratelimit_set(lw_ratelimit_t *p, bool on, double per_s, uint64_t now_us);
--- a/src/retryafter.c
+++ b/src/retryafter.c
@@ -1,18 +1,21 @@
-/* When a refused caller should come back; see comeback.h. */
+/* The retry-after delay of a refused caller; see retryafter.h. */
 #include "retryafter.h"
 
-/* callers are spread over this many times the time until room is expected */
+/* retries are spread over the time until capacity is expected times this factor */
 #define SPREAD_FACTOR 2
-/* each rank of priority waits so much longer, percent: urgent work is back first */
+/*
+ * Each priority waits this much longer than the next more urgent one,
+ * percent: urgent requests return first.
+ */
 #define PRIORITY_PERCENT 30
-/* callers wait at most this part of the time they have left (1/n) */
+/* a caller waits at most this part (1/n) of the time it has left */
 #define LEFT_DIVISOR 3
-/* shortest wait: below it the answer's way back dominates, ms */
+/* shortest delay; below it the time that the answer travels dominates, ms */
 #define RETRY_AFTER_MIN_MS 20
 
 /*
- * lw_comeback_ms() - milliseconds to wait; @room_ms: until room is expected,
- * @left_ms: what the caller has left, @random: any 32 bits.
+ * lw_retry_after_ms() - the delay in ms. @room_ms: time until capacity is
+ * expected; @left_ms: time that the caller has left; @random: any 32 bits.
  */
 uint32_t lw_retry_after_ms(uint32_t room_ms, uint32_t priority, uint32_t left_ms, uint32_t random)
 {
--- a/src/stopplan.c
+++ b/src/stopplan.c
@@ -1,60 +1,66 @@
-/* The steps of a stop; see stopplan.h. */
+/* The steps of a graceful stop; see stopplan.h. */
 #include "stopplan.h"
 
 /*
- * Callers are told not to come at once; they hear it within two questions of
- * the platform, one a second. Only then is it safe to leave, us.
+ * Clients are told at once to use other nodes; they learn it within two polls
+ * of the platform, which they make once a second. Only after that is it safe
+ * to exit. In microseconds.
  */
 #define CALLERS_KNOW_US 2300000
 /*
- * Other nodes send work for a while yet: the node runs on for its callers in
- * any case, and its backend server would stand idle meanwhile. What they send
- * last has the usual second to finish, us.
+ * Other nodes are told later and send work until then: the node has to keep
+ * running for its clients in any case, and its backend server would be idle
+ * meanwhile. The requests they send last have the usual second to finish. In microseconds.
  */
 #define TELL_PEERS_US 1300000
-/* idle connections of callers are closed from then on, us */
+/* idle client connections are closed from this time on, us */
 #define CLOSE_IDLE_US 1500000
 /*
- * Callers that come all the same are turned away from then on: a request
- * taken later could be cut off by SIGKILL. The backend server comes by the same
- * listener with the calls of what it runs; without it 13 of 41 requests of a
- * stop that a lost answer held up failed at the server, us.
+ * Requests of clients that still arrive after this time are refused: a
+ * request that is accepted later could be interrupted by SIGKILL. The
+ * listener stays open while the backend server is at work, as the calls of the
+ * requests it executes arrive there. With it closed, 13 of 41 requests failed
+ * at the server during a stop that was prolonged by a lost answer. In microseconds.
  */
 #define REFUSE_CALLERS_US 2800000
 /*
- * Between the word that nothing is taken any more and the exit, whenever that
- * word was given: what others sent before they heard it is handed back in that
- * time. A request that meets the exit may have run, for all its sender knows (20
- * of 20 under way 30 ms each way, when both came in one step), us.
+ * Shortest time between the announcement that the node accepts nothing more,
+ * whenever it was made, and the exit: requests that others sent before they
+ * received it are rejected unexecuted in that time. For the sender, a request
+ * that arrives during the exit may have been executed (20 of 20 requests with
+ * a delay of 30 ms each way, when announcement and exit came in one step).
+ * In microseconds.
  */
 #define PEERS_KNOW_US 200000
-/* a step may come this much early, us */
+/* a step may run early by this much, us */
 #define STEP_EARLY_US 20000
 /*
- * This much before SIGKILL the process exits whatever is under way: enough for
- * the last answers to leave. What is cut off then would be by SIGKILL, us.
+ * The process exits this long before SIGKILL even if requests are in flight,
+ * so that the last answers can be sent. Requests that are interrupted by this
+ * exit would be interrupted by SIGKILL otherwise. In microseconds.
  */
 #define EXIT_MARGIN_US 400000
 
 /*
- * A request under way for longer than this may last until its deadline, as
- * when its answer is lost, and the exit has to wait for it. Refusing work
- * meanwhile leaves the backend server idle for nothing (2.7 s of one rolling
- * restart, in which a service had no other node), us.
+ * A request in flight for longer than this may last until its deadline, for
+ * example when its answer is lost, and the exit has to wait for it. Refusing
+ * work meanwhile would leave the backend server idle needlessly (for 2.7 s of
+ * one rolling restart, in which the service had no other node). In microseconds.
  */
 #define STRAGGLER_US 1000000
 /*
- * A stopping node expects a run to last as long as the longest one of late and
- * one part in so many more, this at least, and no more than that: one run of
- * 4.6 s would leave the node without work for the whole stop, us.
+ * A stopping node expects a request to execute for as long as the longest
+ * recent one plus a fraction (1/RUN_SPARE_DIVISOR), within these bounds.
+ * Without the upper bound, one request of 4.6 s would leave the node without
+ * work for the whole stop. In microseconds.
  */
 #define RUN_SPARE_DIVISOR 4
 #define RUN_MIN_US	  1000000
 #define RUN_MAX_US	  2600000
 
 /*
- * lw_stopplan_exit_us() - when a process that has @grace_us between SIGTERM and
- * SIGKILL exits at the latest, counted from SIGTERM.
+ * lw_stopplan_exit_us() - latest exit of a process that has @grace_us between
+ * SIGTERM and SIGKILL, counted from SIGTERM.
  */
 uint64_t lw_stopplan_exit_us(uint64_t grace_us)
 {
@@ -62,11 +68,12 @@
 }
 
 /*
- * lw_stopplan_takes() - whether a stopping node with @left_us until its exit
- * takes a request that waits for @wait_us and whose sender wants no answer
- * after @deadline_us; @longest_us is the longest run of late. Taken up to a
- * fixed moment, work that lasts longer than what is left then is cut off while
- * its server is at it, and one that may not run twice has failed.
+ * lw_stopplan_accepts() - whether a stopping node with @left_us until its
+ * exit accepts a request that waits for @wait_us and whose sender gives up
+ * after @deadline_us; @longest_us is the longest recent execution. If
+ * requests were accepted up to a fixed moment, those that execute for longer
+ * than the time left would be interrupted, and those that must not be
+ * executed twice would fail.
  */
 bool lw_stopplan_accepts(uint64_t left_us, uint64_t wait_us, uint64_t longest_us,
 			 uint64_t deadline_us)
@@ -82,7 +89,7 @@
 	return left_us >= (last_us < deadline_us ? last_us : deadline_us);
 }
 
-/* nothing new is taken once what is under way will end soon, or must */
+/* whether to accept nothing more: the requests in flight will end soon, or must */
 static bool time_to_refuse(const lw_stopstate_t *s)
 {
 	if (s->since_us + RUN_MIN_US > lw_stopplan_exit_us(s->grace_us))
@@ -90,7 +97,7 @@
 	return s->since_us >= CALLERS_KNOW_US && s->oldest_us < STRAGGLER_US;
 }
 
-/* nothing is under way, and everybody has heard that nothing is taken */
+/* whether nothing is in flight and all peers know that the node accepts nothing more */
 static bool may_exit(const lw_stopstate_t *s)
 {
 	return s->since_us >= CALLERS_KNOW_US + PEERS_KNOW_US && !s->oldest_us &&
@@ -98,10 +105,11 @@
 }
 
 /*
- * lw_stopplan() - what to do now. From the moment at which the node could
- * leave it takes no work of others: where the nodes beside all servers of a
- * service stop in turn, each would be sent work as the best one left until its
- * exit cut it off (123 calls in 2 s of one rolling restart).
+ * lw_stopplan() - what to do now. The node accepts no work of others from the
+ * moment at which it could exit. Otherwise, where the nodes of all servers of
+ * a service stop in turn, each of them would be sent work as the best one
+ * left until its exit interrupted that work (123 calls in 2 s of one rolling
+ * restart).
  */
 lw_stopplan_t lw_stopplan(const lw_stopstate_t *s)
 {
--- a/src/stopplan.h
+++ b/src/stopplan.h
@@ -1,8 +1,8 @@
 /*
- * What a stopping node does when, from SIGTERM to its exit. Failures it guards
- * against: callers that were not told in time, requests cut off by the exit,
- * and a fleet restarted node by node that loses more room than it must, as
- * each stopping node keeps its backend server idle. No I/O; the time is given.
+ * The steps of a stopping node from SIGTERM to its exit. They prevent that
+ * clients are not told in time, that the exit interrupts requests, and that a
+ * rolling restart costs more capacity than necessary because each stopping
+ * node leaves its backend server idle. No I/O; the caller passes the time.
  */
 #ifndef LW_STOPPLAN_H
 #define LW_STOPPLAN_H
@@ -10,25 +10,25 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* The steps are looked at so often, in seconds. */
+/* Interval at which the plan is evaluated, in seconds. */
 #define LW_STOPPLAN_STEP_S 0.1
 
 typedef struct lw_stopplan {
-	bool tell_peers; /* other nodes send work elsewhere */
-	bool close_idle; /* connections of callers that carry no request */
-	bool refuse; /* nothing new is taken, what waits goes back, not run */
-	bool refuse_callers; /* requests that begin here are not taken any more */
-	bool close_listeners; /* nor connections */
+	bool tell_peers; /* tell other nodes to send work elsewhere */
+	bool close_idle; /* close idle client connections */
+	bool refuse; /* accept nothing more, reject queued requests unexecuted */
+	bool refuse_callers; /* refuse user requests that enter at this node */
+	bool close_listeners; /* accept no more connections */
 	bool exit;
 } lw_stopplan_t;
 
-/* What a step depends on. */
+/* Input of lw_stopplan(). */
 typedef struct lw_stopstate {
-	uint64_t since_us; /* SIGTERM */
-	uint64_t grace_us; /* from SIGTERM to SIGKILL */
-	uint64_t oldest_us; /* age of the oldest request under way; 0: none is */
-	uint64_t refusing_us; /* since others were told that nothing is taken; 0: they were not */
-	bool at_work; /* the backend server runs requests, or may still be given some */
+	uint64_t since_us; /* time since SIGTERM */
+	uint64_t grace_us; /* time from SIGTERM to SIGKILL */
+	uint64_t oldest_us; /* age of the oldest request in flight; 0: none */
+	uint64_t refusing_us; /* since peers were told that nothing is accepted; 0: they were not */
+	bool at_work; /* the backend server executes requests, or may still receive some */
 } lw_stopstate_t;
 
 lw_stopplan_t lw_stopplan(const lw_stopstate_t *s);
--- a/src/waitq.c
+++ b/src/waitq.c
@@ -1,7 +1,7 @@
-/* The queue in front of the backend server; see waitq.h. */
+/* The wait queue in front of the backend server; see waitq.h. */
 #include "waitq.h"
 
-/* lw_waiter_before() - true if @a starts before @b whenever it came. */
+/* lw_waiter_before() - true if @a starts before @b whichever of them arrived first. */
 bool lw_waiter_before(const lw_waiter_t *a, const lw_waiter_t *b)
 {
 	if (a->priority != b->priority)
@@ -13,7 +13,7 @@
 	return a->expires_us < b->expires_us;
 }
 
-/* lw_waitq_push() - put @w behind all that go before it or came earlier. */
+/* lw_waitq_push() - insert @w behind all waiters that precede it or are equal to it. */
 void lw_waitq_push(lw_waitq_t *q, lw_waiter_t *w)
 {
 	lw_waiter_t *after = q->last;
@@ -33,7 +33,7 @@
 	q->len++;
 }
 
-/* lw_waitq_remove() - take @w out of the queue, wherever it stands. */
+/* lw_waitq_remove() - take @w out of the queue, whatever its position. */
 void lw_waitq_remove(lw_waitq_t *q, lw_waiter_t *w)
 {
 	if (w->prev)
@@ -49,7 +49,7 @@
 	q->len--;
 }
 
-/* lw_waitq_pop() - take out the one that goes first; NULL if empty. */
+/* lw_waitq_pop() - take out the first waiter; NULL if the queue is empty. */
 lw_waiter_t *lw_waitq_pop(lw_waitq_t *q)
 {
 	lw_waiter_t *w = q->first;
@@ -59,7 +59,7 @@
 	return w;
 }
 
-/* lw_waitq_expired() - one whose time is over; NULL if there is none. */
+/* lw_waitq_expired() - a waiter whose time to start has passed; NULL if there is none. */
 lw_waiter_t *lw_waitq_expired(const lw_waitq_t *q, uint64_t now_us)
 {
 	for (lw_waiter_t *w = q->first; w; w = w->next)
@@ -68,7 +68,7 @@
 	return NULL;
 }
 
-/* lw_waitq_ahead() - how many would go before @w if it were pushed now. */
+/* lw_waitq_count_ahead() - how many waiters would precede @w if it were pushed now. */
 size_t lw_waitq_count_ahead(const lw_waitq_t *q, const lw_waiter_t *w)
 {
 	size_t behind = 0;
--- a/src/waitq.h
+++ b/src/waitq.h
@@ -1,10 +1,11 @@
 /*
- * The order in which requests wait for the backend server. Load pattern: more
- * work than slots, of kinds that differ in how long they can wait, and calls
- * made one after another for the same user request. The most urgent priority
- * goes first. Among equals those whose user request can still be in time go
- * before those that are late anyhow, then the one whose objective ends
- * soonest: what was begun is finished before something new is begun.
+ * The order in which requests wait for the backend server, for load that
+ * exceeds its slots and consists of kinds that can wait for different times
+ * and of successive calls for the same user request. The most urgent priority
+ * goes first. Within a priority, requests whose user request can still meet
+ * its latency objective go before those that are late in any case, then the
+ * request whose objective ends soonest: work in progress is completed before
+ * new work is started.
  */
 #ifndef LW_WAITQ_H
 #define LW_WAITQ_H
@@ -15,9 +16,9 @@
 
 typedef struct lw_waiter {
 	uint32_t priority; /* 0 is the most urgent */
-	bool late; /* its user request cannot be in time any more */
-	uint64_t target_us; /* when that one's latency objective ends */
-	uint64_t expires_us; /* no use in starting it later */
+	bool late; /* the user request cannot meet its latency objective any more */
+	uint64_t target_us; /* end of the latency objective of the user request */
+	uint64_t expires_us; /* starting the request after this time is useless */
 	struct lw_waiter *prev;
 	struct lw_waiter *next;
 } lw_waiter_t;
