--- a/src/fanout.c
+++ b/src/fanout.c
@@ -1,4 +1,4 @@
-/* The way of news through the fleet; see spread.h. */
+/* Dissemination of store updates through the fleet; see fanout.h. */
 #include "fanout.h"
 
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 	const char *backend;
 	const char *zone;
 	uint64_t hash;
-	uint32_t zone_index; /* in its zone */
+	uint32_t zone_index; /* position in its zone */
 	bool draining;
 } lw_member_t;
 
@@ -27,7 +27,7 @@
 	return strcmp(x->backend, y->backend);
 }
 
-/* those that stay before those that leave, then one of each zone after the other */
+/* nodes that stay before nodes that leave, then by position, so that the zones alternate */
 static int by_rank(const void *a, const void *b)
 {
 	const lw_member_t *x = a, *y = b;
@@ -49,7 +49,7 @@
 			      .draining = draining };
 }
 
-/* all nodes by zone; the own one also if its backend server is not @listed */
+/* collect all nodes by zone, including this one if its backend server is not in the list */
 static size_t collect(const lw_serverlist_t *sl, const char *backend, const char *zone,
 		      lw_member_t *m, bool *listed)
 {
@@ -80,7 +80,7 @@
 		lw_str_copy(s->child[s->nchildren++], LW_NAME_MAX, lw_str_c(backend));
 }
 
-/* the children of node @at among the @n of a zone, in both trees */
+/* the children of node @at among the @n nodes of a zone, in both trees */
 static void add_zone(lw_fanout_t *s, const lw_member_t *zone, size_t n, size_t at)
 {
 	size_t back = n - 1 - at;
@@ -93,7 +93,10 @@
 	}
 }
 
-/* the children of node @self among the heads of the zones; the readers are above the first ones */
+/*
+ * The children of node @self among the head nodes of the zones; the readers
+ * are above the first heads.
+ */
 static void add_heads(lw_fanout_t *s, const lw_member_t **heads, size_t n, const lw_member_t *self,
 		      bool reads)
 {
@@ -123,17 +126,20 @@
 	return rank;
 }
 
-/* what the first ones read is told to the others before they all read it */
+/*
+ * A random delay, so that the updates read by the first nodes reach the
+ * others before all of them read the store.
+ */
 static uint32_t stagger_ms(const char *backend)
 {
 	return (uint32_t)(XXH3_64bits(backend, strlen(backend)) % LW_FANOUT_STAGGER_MS);
 }
 
 /*
- * lw_spread_plan() - the part of the node beside the backend server at
- * @backend in @zone. While that is not in the list, others do not count on it, and it
- * does not read for them: when a whole fleet starts, each would take itself for
- * a reader.
+ * lw_fanout_plan() - the role of the node of the backend server at @backend
+ * in @zone. While the server is not listed, other nodes do not count on this
+ * node, and it does not read the store for them: otherwise, when a whole
+ * fleet starts, each node would consider itself a reader.
  */
 void lw_fanout_plan(const lw_serverlist_t *sl, const char *backend, const char *zone,
 		    lw_fanout_t *out)
@@ -168,13 +174,16 @@
 	free(m);
 }
 
-/* lw_spread_reads() - whether the node reads the store for others. */
+/* lw_fanout_is_reader() - whether the node reads the store for others. */
 bool lw_fanout_is_reader(const lw_fanout_t *s)
 {
 	return s->rank < LW_FANOUT_READERS;
 }
 
-/* lw_spread_steps_in() - whether the node takes the place of a reader of which nothing is heard. */
+/*
+ * lw_fanout_is_reader_or_substitute() - whether the node reads the store for
+ * others, or replaces a silent reader.
+ */
 bool lw_fanout_is_reader_or_substitute(const lw_fanout_t *s)
 {
 	return s->rank < LW_FANOUT_READERS + LW_FANOUT_SUBSTITUTES;
--- a/src/fanout.h
+++ b/src/fanout.h
@@ -1,13 +1,14 @@
 /*
- * How news from the store reaches every node: who reads it, and to whom each node
- * passes it on. Load pattern: with hundreds of nodes the readers' links and the
- * store's rate are too small for all of them. Every node works out the same plan
- * from the list of backend servers. No I/O.
+ * How store updates reach every node: which nodes read the store, and to
+ * which nodes each node forwards updates. With hundreds of nodes the links of
+ * the readers and the request rate of the store are too small to serve all of
+ * them directly. Every node computes the same plan from the list of backend
+ * servers. No I/O.
  *
- * In each availability zone the nodes, in the order of a hash of their addresses,
- * are two trees: one from the first node on, one from the last node on, so that
- * hardly a node passes news on in both. The first nodes of the zones are a tree
- * likewise, below the readers, and so are the last ones.
+ * In each availability zone the nodes, ordered by a hash of their addresses,
+ * form two trees: one starts at the first node, the other at the last node,
+ * so that hardly any node forwards updates in both. The first nodes of the
+ * zones form a tree below the readers as well, and so do the last ones.
  */
 #ifndef LW_FANOUT_H
 #define LW_FANOUT_H
@@ -17,34 +18,37 @@
 
 #include "fleetconf.h"
 
-/* Nodes that read the store for all, in different zones if there are. */
+/* Nodes that read the store for all, in different zones if possible. */
 #define LW_FANOUT_READERS 2
-/* Nodes that take the readers' place when nothing is heard of them. */
+/* Nodes that replace the readers when these are silent. */
 #define LW_FANOUT_SUBSTITUTES 2
-/* Nodes to which a node passes news on in one tree. */
+/* Most children of a node in one tree. */
 #define LW_FANOUT_DEGREE 6
-/* A node is a reader, and inner node of two trees in its zone and two between zones. */
+/* A node can be a reader, and an inner node of two trees in its zone and of two between zones. */
 #define LW_FANOUT_CHILDREN_MAX (6 * LW_FANOUT_DEGREE)
 
-/* One node's part. */
+/* The role of one node. */
 typedef struct lw_fanout {
-	uint32_t rank; /* among those that read: the first ones do, the next ones step in */
-	uint32_t read_after_ms; /* how old news may be before the node reads the store itself */
+	uint32_t rank; /* among all nodes: readers come first, then substitutes */
+	uint32_t read_after_ms; /* age of the last update at which the node reads the store */
 	char child[LW_FANOUT_CHILDREN_MAX][LW_NAME_MAX]; /* addresses of backend servers */
 	size_t nchildren;
 } lw_fanout_t;
 
-/* readers tell every 0.7 s; one message may be late by half of that, ms */
+/*
+ * Age at which an update is stale: readers send every 0.7 s, and one message
+ * may be late by half of that. In milliseconds.
+ */
 #define LW_FANOUT_STALE_MS 1050
-/* news that is older is asked for at a few other nodes, ms */
+/* age after which a few other nodes are asked for a newer update, ms */
 #define LW_FANOUT_ASK_MS 850
-/* so many of them */
+/* number of nodes that are asked */
 #define LW_FANOUT_ASK_NODES 3
-/* the others leave the substitutes this much time, ms */
+/* time by which other nodes wait longer than the substitutes before they read the store, ms */
 #define LW_FANOUT_SUBSTITUTES_MS 200
-/* and begin one after the other within this time, ms */
+/* and the time over which their reads are distributed, ms */
 #define LW_FANOUT_STAGGER_MS 300
-/* of a node that does not read for others, and stands in for nobody */
+/* rank of a node that is neither reader nor substitute */
 #define LW_FANOUT_NO_RANK UINT32_MAX
 
 void lw_fanout_plan(const lw_serverlist_t *sl, const char *backend, const char *zone,
--- a/src/place.c
+++ b/src/place.c
@@ -6,53 +6,56 @@
 #include <xxhash.h>
 
 /*
- * Cost factors. A host in another availability zone must be this much better
- * to be chosen: bytes between zones are paid for, and the extra round trip is
- * small against the time a request runs. A large body makes it worse.
+ * Cost factors. A host in another availability zone is chosen only if it is
+ * better by this factor: traffic between zones is paid for, and the
+ * additional round trip is small compared with the execution time of a
+ * request. A large body increases the factor.
  */
 #define COST_OTHER_ZONE	   1.3
 #define COST_ZONE_PER_BYTE (1.0 / 16384)
 #define COST_ZONE_BODY_MAX 4.0
 /*
- * How much a host slows down towards full use: it costs 1 + 3 u^3 times the
- * time a request runs there, u being the part of its slots in use. A fast
- * server is filled to about 70% before one of half its speed gets work.
+ * How much a host slows down as its utilisation grows: a request costs 1 + 3
+ * u^3 times its service time there, u being the part of the slots in use. A
+ * fast server is filled to about 70% before one of half its speed gets work.
  */
 #define COST_FULL 3.0
-/* the backend server on this host needs no hop at all */
+/* a request to the backend server on this host needs no hop */
 #define COST_SELF 0.9
-/* a host whose requests all fail costs as much as one this many times as loaded */
+/* a host whose requests all fail costs as much as one whose load is higher by this factor */
 #define COST_FAILING 20.0
 /*
- * One choice in so many goes by use alone: a server that was slow is tried again,
- * and one that has joined gets work from other hosts before it is needed. Without
- * it half of the servers that joined on a calm day got none.
+ * One choice in this many considers the utilisation only, so that a server
+ * that was slow is tried again, and one that has joined gets work from other
+ * hosts before it is needed. Otherwise half of the servers that join under
+ * moderate load get no requests.
  */
 #define EXPLORE_ONE_IN 32
-/* costs are spread by up to this share, so that nodes do not all choose alike */
+/* costs are randomised by up to this share, so that nodes do not all choose the same host */
 #define COST_SPREAD 0.2
-/* weight of one more outcome in the moving average of failures */
+/* weight of a new outcome in the moving average of failures */
 #define FAILURE_EWMA 0.1
 /*
- * A host that failed gets no work while others are better, so nothing would
- * show that it is well again: without outcomes the average halves in this
- * time, us.
+ * A host that failed gets no work while others are better, so that no outcome
+ * would show its recovery. Without outcomes the average halves in this time.
+ * In microseconds.
  */
 #define FAILURE_HALF_LIFE_US 1000000
-/* first and longest time a host that cannot be reached gets no work, ms */
+/* first and longest time for which an unreachable host gets no work, ms */
 #define SUSPECT_MIN_MS 300
 #define SUSPECT_MAX_MS 1000
 /*
- * The entry of a server that was replaced at its address stays until it
- * lapses, after three heartbeats: it gets nothing for so long, us.
+ * The store entry of a server that was replaced at its address remains until
+ * its lease expires after three missed heartbeats. The host gets no work for
+ * this time. In microseconds.
  */
 #define REPLACED_US 5000000
-/* a limit below this counts as this one where hosts are compared, requests a second */
+/* lower rate limits count as this one when hosts are compared, requests per second */
 #define RATE_MIN_PER_S 0.01
-/* a server that took no connection gets no work for so long, while others can take it, us */
+/* a server that refused a connection gets no work for this time while others can take it, us */
 #define DOWN_STALE_US 500000
 
-/* lw_place_init() - no hosts yet; @zone and @backend are this host's. */
+/* lw_place_init() - an empty state; @zone and @backend are those of this host. */
 void lw_place_init(lw_place_t *p, const char *zone, const char *backend, uint32_t mesh_port,
 		   lw_retryallowance_t terms)
 {
@@ -71,7 +74,7 @@
 	return false;
 }
 
-/* whether the host had the request and may get it again */
+/* whether the host has had the request and may get it again */
 static bool may_resend_to(const lw_place_tried_t *tried, const lw_place_host_t *h)
 {
 	for (size_t i = 0; i < tried->n; i++)
@@ -80,7 +83,10 @@
 	return false;
 }
 
-/* lw_place_try() - the request goes to @h, which has not had it; there must be room. */
+/*
+ * lw_place_add_tried() - record that the request goes to @h for the first
+ * time. @tried must have room.
+ */
 void lw_place_add_tried(lw_place_tried_t *tried, const lw_place_host_t *h)
 {
 	tried->rejected[tried->n] = false;
@@ -88,8 +94,9 @@
 }
 
 /*
- * lw_place_handed_back() - @h handed the request back. It gets it no more: sent
- * again there, the request could reach more servers than its route allows.
+ * lw_place_mark_rejected() - @h returned the request unexecuted and does not
+ * get it again: if it were sent there again, the request could reach more
+ * servers than its route allows.
  */
 void lw_place_mark_rejected(lw_place_tried_t *tried, const lw_place_host_t *h)
 {
@@ -98,7 +105,7 @@
 			tried->rejected[i] = true;
 }
 
-/* part of a second's work that waits at a host which takes only so many requests a second */
+/* seconds of work queued at a host with a rate limit, relative to the limit */
 static double rate_use(const lw_place_host_t *h, bool known)
 {
 	uint32_t waiting = known ? h->load.queued + h->sent : h->inflight;
@@ -106,7 +113,7 @@
 	return (waiting + 1.0) / fmax(h->load.notice.limit_per_s, RATE_MIN_PER_S);
 }
 
-/* part of a host's slots in use: as its node told, and what was sent since */
+/* part of the slots of a host in use, by its last load report and the requests sent since */
 static double host_use(const lw_place_host_t *h, bool known)
 {
 	uint32_t busy = known ? h->load.running + h->load.queued + h->sent : h->inflight;
@@ -137,7 +144,7 @@
 	return h->failures > 0 && halves > 0.1 ? h->failures * exp2(-halves) : h->failures;
 }
 
-/* the time a request is expected to take there, against the service's mean */
+/* expected response time at the host, relative to the mean of the service */
 static double host_cost(const lw_place_host_t *h, const lw_place_query_t *ask, double mean_us)
 {
 	bool known = h->load_us && ask->now_us - h->load_us < LW_PLACE_LOAD_STALE_US;
@@ -156,18 +163,18 @@
 	return cost * (1 + COST_FAILING * failures * failures);
 }
 
-/* how sure it is that a host takes work; a better tier always goes first */
+/* how certain it is that a host accepts work; a host of a better tier is always preferred */
 typedef enum {
 	TIER_GOOD,
-	TIER_LEAVING, /* its node is stopping, the backend server may still be reached */
+	TIER_LEAVING, /* the node is stopping, but its backend server may still be reachable */
 	TIER_SUSPECT,
 	TIER_COUNT
 } tier_t;
 
 /*
- * A server that takes no connection hands everything back at once. By its load
- * it would be the best one of a busy service: 605 of the calls of one second
- * went to a dead server while the two others were full.
+ * A server that accepts no connection rejects every request at once, so its
+ * reported load would make it the best choice of a busy service: 605 calls of
+ * one second went to a dead server while the two others were full.
  */
 static bool is_down(const lw_place_host_t *h, uint64_t now_us)
 {
@@ -182,8 +189,9 @@
 }
 
 /*
- * A node that is about to exit says that it takes nothing. A request sent all
- * the same may meet the exit, and nobody can tell then whether it ran.
+ * A node that is about to exit reports that it accepts nothing. A request
+ * that is sent nevertheless may arrive during the exit, and then nobody can
+ * tell whether it was executed.
  */
 static bool accepts_nothing(const lw_place_host_t *h, uint64_t now_us)
 {
@@ -210,7 +218,10 @@
 	return n ? sum / n : 0;
 }
 
-/* the best host of @s among those that had the request, or of those not in @tried */
+/*
+ * The best host of @s: with @resend among those that may get the request
+ * again, else among those not in @tried.
+ */
 static lw_place_host_t *pick(lw_place_service_t *s, const lw_place_tried_t *tried, bool resend,
 			     const lw_place_query_t *ask)
 {
@@ -241,9 +252,9 @@
 }
 
 /*
- * lw_place_pick() - the host of @s that is expected to answer soonest, none
- * of @tried; NULL if there is none.
- * A host in a worse tier is chosen only if there is none in a better one.
+ * lw_place_pick() - the host of @s that is expected to answer soonest, except
+ * those in @tried; NULL if there is none. A host in a worse tier is chosen
+ * only if there is none in a better one.
  */
 lw_place_host_t *lw_place_pick(lw_place_service_t *s, const lw_place_tried_t *tried,
 			       const lw_place_query_t *ask)
@@ -251,14 +262,17 @@
 	return pick(s, tried, false, ask);
 }
 
-/* lw_place_pick_again() - the same among the hosts in @tried. */
+/* lw_place_pick_resend() - the same among the hosts in @tried that may get the request again. */
 lw_place_host_t *lw_place_pick_resend(lw_place_service_t *s, const lw_place_tried_t *tried,
 				      const lw_place_query_t *ask)
 {
 	return pick(s, tried, true, ask);
 }
 
-/* lw_place_process() - tells one process of a server from the next, also if its id stays. */
+/*
+ * lw_place_process() - hash that identifies a process of a server; it changes
+ * with a restart even if the id does not.
+ */
 uint64_t lw_place_process(const char *id, uint64_t born_ms)
 {
 	return XXH64(id, strlen(id), born_ms);
@@ -275,10 +289,10 @@
 }
 
 /*
- * lw_place_pick_trial() - the host of @s that a request which may end its server is
- * tried at, @key standing for the request: the same host on every node that has the
- * same list. The @n processes @ended are not there any more. NULL if there is none,
- * and where it is the last of several that is left.
+ * lw_place_pick_trial() - the host of @s on which a request that may crash
+ * its server is tried, the same on every node that has the same server list.
+ * @key identifies the request; the @n processes @crashed are excluded. NULL
+ * if no host is eligible, or if only one of several hosts is left.
  */
 lw_place_host_t *lw_place_pick_trial(const lw_place_service_t *s, uint64_t key,
 				     const uint64_t *crashed, size_t n, uint64_t now_us)
@@ -303,7 +317,7 @@
 	return good > 1 || hosts < 2 ? best : NULL;
 }
 
-/* whether @h has room for a request now; @sure: not if nothing is known of it */
+/* whether @h has room for a request now; with @load_known only if its load is known */
 static bool has_room(const lw_place_host_t *h, uint64_t now_us, bool load_known)
 {
 	bool known = h->load_us && now_us - h->load_us < LW_PLACE_LOAD_STALE_US;
@@ -313,11 +327,12 @@
 }
 
 /*
- * lw_place_pick_room() - the best host of @s other than @tried that has room for
- * a request now, NULL if none has; @sure: one of which nothing is known does not
- * count. Giving up a call that may yet be answered is only worth it for such a
- * host: of 50 reads that took long while a node stopped 14 to 23 were given up for
- * a node that was gone, and failed with their server at work.
+ * lw_place_pick_room() - the best host of @s outside @tried that has room for
+ * a request now, NULL if there is none. With @load_known a host whose load is
+ * unknown does not count. Only for a host with room is it worth giving up a
+ * call that may still be answered: of 50 slow reads during the stop of a
+ * node, 14 to 23 were given up for a node that had exited and failed,
+ * although their server was still executing them.
  */
 lw_place_host_t *lw_place_pick_room(const lw_place_service_t *s, const lw_place_tried_t *tried,
 				    const lw_place_query_t *ask, bool load_known)
@@ -340,13 +355,13 @@
 	return best;
 }
 
-/* lw_place_takes() - whether @h is there and takes new work; NULL does not. */
+/* lw_place_accepts_work() - whether @h is present and accepts new work; false for NULL. */
 bool lw_place_accepts_work(const lw_place_host_t *h, uint64_t now_us)
 {
 	return h && lw_place_usable(h, now_us) && !h->draining && !h->load.leaving;
 }
 
-/* lw_place_sent() - a request goes to @h; lw_place_ended() must follow. */
+/* lw_place_request_sent() - a request is sent to @h; lw_place_request_done() must follow. */
 void lw_place_request_sent(lw_place_host_t *h)
 {
 	h->refs++;
@@ -354,7 +369,10 @@
 	h->sent++;
 }
 
-/* lw_place_ended() - the request has its outcome; @ok: the server answered well. */
+/*
+ * lw_place_request_done() - the request has an outcome; @ok: the server
+ * answered without an error.
+ */
 void lw_place_request_done(lw_place_host_t *h, bool ok, uint64_t now_us)
 {
 	double failures = recent_failures(h, now_us);
@@ -370,9 +388,10 @@
 }
 
 /*
- * lw_place_replaced() - a server at the address of @h says that it is another
- * one. After a power failure of all hosts the old entries still stand beside
- * servers that have started anew: 126 calls of two seconds were turned away.
+ * lw_place_mark_replaced() - another server reports the address of @h as its
+ * own. After a power failure of all hosts the old entries remain beside those
+ * of the restarted servers; they caused 126 calls to be refused in two
+ * seconds.
  */
 void lw_place_mark_replaced(lw_place_host_t *h, uint64_t now_us)
 {
@@ -380,20 +399,21 @@
 }
 
 /*
- * lw_place_leaves() - the process of @h has said that it leaves: it gets no new
- * work, whatever its entry says. False if that was known.
+ * lw_place_mark_leaving() - the process of @h announced that it stops: the
+ * host gets no new work, whatever its store entry says. False if this was
+ * known already.
  */
 bool lw_place_mark_leaving(lw_place_host_t *h)
 {
-	bool news = !h->draining;
+	bool changed = !h->draining;
 
 	h->draining = true;
-	return news;
+	return changed;
 }
 
 /*
- * lw_place_told() - the node beside @h told its load. Returns whether it is news
- * that the server leaves.
+ * lw_place_load_reported() - the node of @h reported its load. Returns true
+ * if the report is the first to say that the server stops.
  */
 bool lw_place_load_reported(lw_place_host_t *h, const lw_load_t *load, uint64_t now_us)
 {
@@ -406,8 +426,9 @@
 }
 
 /*
- * lw_place_node_told() - a node told the load of its backend server, whichever that
- * is. Returns the server of which it is news that it leaves, or NULL.
+ * lw_place_node_load_reported() - a node reported the load of its backend
+ * server, whichever server that is. Returns the server if the report is the
+ * first to say that it stops, else NULL.
  */
 const lw_place_host_t *lw_place_node_load_reported(lw_place_t *p, const char *node,
 						   const lw_load_t *load, uint64_t now_us)
@@ -427,10 +448,11 @@
 }
 
 /*
- * lw_place_node_lost() - a node cannot be reached or has gone silent: it gets
- * no new work for a while, longer each time in a row. @used: the lost connection
- * had carried something. One that was only tried says nothing of a node never
- * heard of: in a fleet that starts it may not listen yet.
+ * lw_place_node_lost() - a node is unreachable or silent: its host gets no
+ * new work for a time that grows with each failure in a row. @used: the lost
+ * connection had carried data. A connection that was only attempted says
+ * nothing about a node that never reported its load: while a fleet starts,
+ * the node may not listen yet.
  */
 void lw_place_node_lost(lw_place_t *p, const char *node, bool used, uint64_t now_us)
 {
--- a/src/place.h
+++ b/src/place.h
@@ -1,8 +1,8 @@
 /*
- * Placement: which backend server a request goes to, from what this node has
- * seen of each. Load pattern: servers of one service differ in speed, some
- * turn slow, cold or faulty, and every node chooses without asking the others.
- * No I/O and no clock: the time is given.
+ * Placement: the choice of the backend server for a request, by what this
+ * node has observed of each server. The servers of a service differ in speed,
+ * and some become slow, cold or faulty; every node chooses without asking the
+ * others. No I/O and no clock: the caller passes the time.
  */
 #ifndef LW_PLACE_H
 #define LW_PLACE_H
@@ -15,30 +15,30 @@
 #include "fleetconf.h"
 #include "retrylimit.h"
 
-/* A backend server and what is known of it. Valid while listed or referenced. */
+/* A backend server and its observed state. Valid while listed or referenced. */
 typedef struct lw_place_host {
 	char id[LW_NAME_MAX];
-	uint64_t born_ms; /* start of its process; 0: not told */
-	char node[LW_NAME_MAX]; /* mesh address of the node beside it */
+	uint64_t born_ms; /* start time of its process; 0: unknown */
+	char node[LW_NAME_MAX]; /* mesh address of its node */
 	struct lw_place_service *service;
-	bool self; /* the backend server on this host */
+	bool self; /* it is the backend server on this host */
 	bool same_zone;
-	bool listed; /* in the newest list */
-	uint64_t removed_us; /* when its entry was found missing; 0: it is not */
-	uint64_t use_until_us; /* it may have work until then although it is not listed */
-	bool draining; /* its process leaves, as the list or its answers say; never taken back */
+	bool listed; /* in the latest server list */
+	uint64_t removed_us; /* when its entry was found missing; 0: it is not missing */
+	uint64_t use_until_us; /* until then it may get work although it is not listed */
+	bool draining; /* its process is stopping, by the list or its own answers; never reset */
 	uint32_t slots;
-	lw_load_t load; /* as its node told last */
-	uint64_t load_us; /* when; 0: never */
-	uint32_t sent; /* requests of ours since then */
-	uint32_t inflight; /* requests of ours without an outcome */
-	double failures; /* moving average: 0 none, 1 all failed */
+	lw_load_t load; /* as reported last by its node */
+	uint64_t load_us; /* time of that report; 0: none */
+	uint32_t sent; /* requests sent by this node since then */
+	uint32_t inflight; /* requests sent by this node that have no outcome yet */
+	double failures; /* moving average; 0: none failed, 1: all failed */
 	uint64_t failures_us; /* when the last outcome was counted */
-	uint64_t suspect_until_us; /* gets no new work while another can take it */
-	uint64_t replaced_until_us; /* another server has its address, its entry is old */
-	uint32_t backoff_ms; /* length of the last suspicion */
+	uint64_t suspect_until_us; /* until then it gets new work only as a last resort */
+	uint64_t replaced_until_us; /* until then: another server has its address */
+	uint32_t backoff_ms; /* length of the last suspect period */
 	uint32_t refs;
-	struct lw_place_host *next; /* of the same service */
+	struct lw_place_host *next; /* next host of the same service */
 } lw_place_host_t;
 
 typedef struct lw_place_service {
@@ -51,30 +51,30 @@
 typedef struct lw_place {
 	lw_place_service_t *services;
 	char zone[LW_NAME_MAX];
-	char backend[LW_NAME_MAX]; /* of this host */
+	char backend[LW_NAME_MAX]; /* address of the backend server on this host */
 	uint32_t mesh_port;
-	uint32_t nhosts; /* listed */
-	uint32_t nsharing; /* of which the nodes may send repeats: listed, or lately so */
+	uint32_t nhosts; /* number of listed hosts */
+	uint32_t nsharing; /* hosts whose nodes may send retries: listed now or recently */
 	lw_retryallowance_t terms;
 } lw_place_t;
 
-/* A load that was told longer ago says nothing, us. */
+/* A load report that is older than this is ignored, us. */
 #define LW_PLACE_LOAD_STALE_US 3000000
 
-/* Hosts that a request has been to already. */
+/* Hosts that a request has been sent to. */
 #define LW_PLACE_TRIED_MAX 8
 typedef struct lw_place_tried {
 	const lw_place_host_t *host[LW_PLACE_TRIED_MAX];
 	bool rejected
-		[LW_PLACE_TRIED_MAX]; /* it handed the request back when it was last sent there */
+		[LW_PLACE_TRIED_MAX]; /* the host rejected the request unexecuted when it was last sent there */
 	size_t n;
 } lw_place_tried_t;
 
-/* What a choice depends on beside the hosts. */
+/* Input of a choice besides the state of the hosts. */
 typedef struct lw_place_query {
 	uint64_t now_us;
-	int64_t body_length; /* of the request; -1: not known */
-	uint32_t random; /* spreads the choices of the nodes */
+	int64_t body_length; /* length of the request body; -1: unknown */
+	uint32_t random; /* makes the nodes choose differently */
 } lw_place_query_t;
 
 void lw_place_init(lw_place_t *p, const char *zone, const char *backend, uint32_t mesh_port,
--- a/src/placelevel.c
+++ b/src/placelevel.c
@@ -1,4 +1,4 @@
-/* Placement: how much of its work a service refuses; see place.h. */
+/* Placement: the admission level of a service as a whole; see place.h. */
 #include <math.h>
 #include <string.h>
 
@@ -6,12 +6,13 @@
 #include "place.h"
 
 /*
- * The open part of a service lifts its level by so many priorities: with a
- * third of it open nearly a whole priority more is admitted.
+ * Hosts that refuse nothing raise the level of their service by up to this
+ * many priorities: if they are a third of its capacity, nearly one more
+ * priority is admitted.
  */
 #define OPEN_LIFT_PRIORITIES 3
 
-/* requests that @h can run in a microsecond */
+/* requests per microsecond that @h can execute */
 static double capacity_of(const lw_place_host_t *h)
 {
 	double by_slots = h->load.limit / (double)h->load.service_us;
@@ -20,9 +21,10 @@
 }
 
 /*
- * lw_place_level() - the first rank the service as a whole refuses: the mean
- * of its hosts' levels by the work they can do. One host that is full while
- * others are open shows that work is placed badly, not that there is too much.
+ * lw_place_level() - the lowest rank that the service as a whole refuses: the
+ * mean of the levels of its hosts, weighted by their capacity. If one host is
+ * full while others admit all, placement is uneven and the service is not
+ * overloaded.
  */
 uint32_t lw_place_level(const lw_place_service_t *s, uint64_t now_us)
 {
@@ -48,7 +50,10 @@
 	return level < LW_LEVEL_ADMIT_ALL ? (uint32_t)level : LW_LEVEL_ADMIT_ALL;
 }
 
-/* lw_place_limited() - whether a server of @service names how many requests a second it takes. */
+/*
+ * lw_place_has_rate_limit() - whether a server of @service announced a limit
+ * of requests per second.
+ */
 bool lw_place_has_rate_limit(const lw_place_t *p, const char *service, uint64_t now_us)
 {
 	for (const lw_place_service_t *s = p->services; s; s = s->next)
@@ -60,8 +65,8 @@
 }
 
 /*
- * lw_place_tell() - add the level of @s to what is passed on up the call graph
- * by a request that ran there for @work_us.
+ * lw_place_add_level() - add the level of @s to the levels that are passed up
+ * the call graph by a request that executed there for @work_us.
  */
 void lw_place_add_level(const lw_place_service_t *s, uint32_t work_us, uint64_t now_us,
 			lw_path_levels_t *out)
--- a/src/placelist.c
+++ b/src/placelist.c
@@ -1,4 +1,4 @@
-/* Placement: which hosts there are; see place.h. */
+/* Placement: the list of hosts; see place.h. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,13 +8,13 @@
 #include "xalloc.h"
 
 /*
- * How long a node's word holds that its server lives; it is given twice a
- * second, so that one lost message does not end it, us.
+ * How long the assertion of a node that its server is alive holds. It is
+ * repeated twice a second, so that one lost message does not end it. In microseconds.
  */
 #define ALIVE_ASSERTED_US 1300000
-/* a host that is not listed is remembered so long: its entry may have lapsed, us */
+/* a host that is not listed is kept for this time, as its lease may have expired, us */
 #define FORGET_US 30000000
-/* lw_place_free() - release the hosts and services; no request is under way. */
+/* lw_place_free() - release the hosts and services. No request may be in flight. */
 void lw_place_free(lw_place_t *p)
 {
 	lw_place_service_t *s, *next;
@@ -31,7 +31,7 @@
 	p->services = NULL;
 }
 
-/* lw_place_service() - the service @name, made if it is new. */
+/* lw_place_service() - the service @name, created if it does not exist. */
 lw_place_service_t *lw_place_service(lw_place_t *p, const char *name)
 {
 	lw_place_service_t *s;
@@ -46,7 +46,7 @@
 	return s;
 }
 
-/* a start time that is not told matches any */
+/* an unknown start time matches any */
 static bool same_process(const lw_place_host_t *h, const char *id, uint64_t born_ms)
 {
 	return strcmp(h->id, id) == 0 && (!h->born_ms || !born_ms || h->born_ms == born_ms);
@@ -61,8 +61,8 @@
 }
 
 /*
- * lw_place_node_addr() - mesh address of the node beside @backend: the same IP
- * and the fleet's mesh port.
+ * lw_place_node_addr() - mesh address of the node of @backend: the same IP
+ * address with the mesh port of the fleet.
  */
 void lw_place_node_addr(char *dst, size_t len, const char *backend, uint32_t mesh_port)
 {
@@ -118,7 +118,7 @@
 	return false;
 }
 
-/* what follows for hosts that are not in the new list */
+/* update the hosts that are not in the new list */
 static void mark_removed(lw_place_t *p, uint64_t now_us, uint64_t lapsed_until_us)
 {
 	for (lw_place_service_t *s = p->services; s; s = s->next)
@@ -133,8 +133,9 @@
 }
 
 /*
- * The nodes that may send repeats. One whose entry lapsed goes on sending: were
- * it not counted, the others' shares would add up to more than the allowance.
+ * Number of nodes that may send retries. A node whose lease expired continues
+ * to send: if it were not counted, the shares of the others would add up to
+ * more than the allowance.
  */
 static uint32_t count_sharing(const lw_place_t *p)
 {
@@ -147,12 +148,12 @@
 }
 
 /*
- * lw_place_update() - take over the list of backend servers. What is known of
- * a host belongs to its process: another server at the same address, or the
- * same one started anew, starts afresh. An entry that is missing without a
- * drain has lapsed or its server left; until @lapsed_until_us, when a server
- * that left may still have work, the host is used on: by then the node beside
- * it says which it is.
+ * lw_place_update() - apply a new list of backend servers. Observed state
+ * belongs to a process: another server at the same address, or the same one
+ * restarted, starts with empty state. If an entry is missing and its server
+ * was not draining, either its lease expired or the server left. The host is
+ * used until @lapsed_until_us, the time for which a server that left may
+ * still get work; by then its node reports which of the two it is.
  */
 void lw_place_update(lw_place_t *p, const lw_serverlist_t *sl, uint64_t now_us,
 		     uint64_t lapsed_until_us)
@@ -171,7 +172,7 @@
 		h->removed_us = 0;
 		if (e->born_ms)
 			h->born_ms = e->born_ms;
-		/* taken back only in a copy of the store that is older than the drain */
+		/* a drain disappears only in a copy of the store that is older than the drain */
 		h->draining |= e->draining;
 		p->nhosts++;
 	}
@@ -180,19 +181,20 @@
 	p->nsharing = count_sharing(p);
 }
 
-/* lw_place_usable() - whether @h counts as there: listed, or not known to be gone. */
+/* lw_place_usable() - whether @h counts as present: it is listed, or not known to have left. */
 bool lw_place_usable(const lw_place_host_t *h, uint64_t now_us)
 {
 	return h->listed || now_us < h->use_until_us;
 }
 
 /*
- * lw_place_vouched() - the node beside a server says that it lives although
- * its entry lapsed, as the node cannot reach the store. True if the host is
- * known, was not draining, and had not been used any more. When five of thirteen
- * hosts were cut off from the store for 12 s, all servers of one service lapsed:
- * between the fourth and the tenth second 14% to 41% of the credit was earned,
- * with this 70% to 78%.
+ * lw_place_assert_alive() - the node of a server asserts that the server is
+ * alive although its lease expired, because the node cannot reach the store.
+ * Returns true if the host is known, was not draining and had no longer been
+ * used. When five of thirteen hosts were partitioned from the store for 12 s,
+ * all servers of one service lost their leases: between the fourth and the
+ * tenth second 14% to 41% of the credit was earned without assertions, and
+ * 70% to 78% with them.
  */
 bool lw_place_assert_alive(lw_place_t *p, const char *node, const char *id, uint64_t born_ms,
 			   uint64_t now_us)
@@ -211,8 +213,9 @@
 }
 
 /*
- * lw_place_each_lost() - call @fn with the node of each suspected host: a
- * short test by the caller finds out whether it is back before work is risked.
+ * lw_place_each_suspect() - call @fn with the node of each suspect host; the
+ * caller probes whether the node has recovered before requests are risked
+ * there.
  */
 void lw_place_each_suspect(const lw_place_t *p, lw_place_node_fn fn, void *ctx)
 {
@@ -222,7 +225,7 @@
 				fn(ctx, h->node);
 }
 
-/* lw_place_each() - call @fn with the node of each host but this one. */
+/* lw_place_each() - call @fn with the node of each usable host except this one. */
 void lw_place_each(const lw_place_t *p, lw_place_node_fn fn, void *ctx, uint64_t now_us)
 {
 	for (const lw_place_service_t *s = p->services; s; s = s->next)
@@ -232,8 +235,9 @@
 }
 
 /*
- * lw_place_self() - the backend server on this host in the list, the one that
- * is not draining if there are two; NULL if none. @known: the list has one.
+ * lw_place_self() - the listed backend server on this host, preferably one
+ * that is not draining; NULL if there is none. @known is set to whether there
+ * is one.
  */
 const lw_place_host_t *lw_place_self(const lw_place_t *p, bool *known)
 {
