--- a/src/admission.c
+++ b/src/admission.c
@@ -4,12 +4,12 @@
 #include <math.h>
 #include <string.h>
 
-#define RESERVE_MS	   1000 /* how long seen critical work keeps its reserve */
-#define ESTIMATE_MS	   1000 /* how long an idle backend server's latency is believed */
+#define RESERVE_MS	   1000 /* how long slots stay reserved after the last critical request */
+#define ESTIMATE_MS	   1000 /* how long the latency of an idle backend server is considered valid */
 #define RETRY_AFTER_MIN_MS 100
 #define RETRY_AFTER_MAX_MS 2000
 
-/* lw_admission_init() - admission to a backend server with @slots. */
+/* lw_admission_init() - admission for a backend server with @slots. */
 void lw_admission_init(lw_admission_t *a, uint32_t slots)
 {
 	memset(a, 0, sizeof(*a));
@@ -20,7 +20,7 @@
 	a->share[LW_CLASS_CRITICAL] = 1.0;
 }
 
-/* lw_admission_preset() - take over the shares and queue bound of @p. */
+/* lw_admission_preset() - apply the shares and the queue bound of @p. */
 void lw_admission_preset(lw_admission_t *a, const lw_preset_t *p)
 {
 	memcpy(a->share, p->share, sizeof(a->share));
@@ -28,18 +28,18 @@
 }
 
 /*
- * A class may fill its share of the limit, but the share reserves the rest
- * only while more critical work has been seen lately: a backend server that
- * never gets critical work must not keep slots idle for it.
+ * A class may use its share of the limit. The rest is reserved only while
+ * requests of a more critical class have arrived recently: a backend server
+ * that never gets critical requests must not keep slots idle for them.
  */
-static bool fits(const lw_admission_t *a, lw_class_t cls, uint64_t now_ms)
+static bool may_start(const lw_admission_t *a, lw_class_t cls, uint64_t now_ms)
 {
 	double share = 1.0;
 
 	for (int c = (int)cls + 1; c < LW_CLASS_COUNT; c++)
 		if (a->seen[c] && now_ms + 1 - a->seen[c] < RESERVE_MS)
 			share = a->share[cls];
-	/* a limit of 4.9 allows 4 in flight: the fraction is still being earned */
+	/* a limit of 4.9 allows 4 in flight: the fraction is not yet a whole slot */
 	return (double)a->inflight < floor(a->limiter.limit * share);
 }
 
@@ -49,7 +49,7 @@
 	a->nqueue--;
 }
 
-/* make room in a full queue: the youngest of the least critical gives way */
+/* make room in a full queue: evict the youngest request of the least critical class */
 static bool displace(lw_admission_t *a, lw_class_t cls, uint64_t *displaced)
 {
 	size_t victim = a->nqueue;
@@ -66,9 +66,9 @@
 }
 
 /*
- * How long @o may wait for a slot: more critical work longer, and nothing so
- * long that the backend server would then have less than twice its usual
- * time left to answer. 0: not at all.
+ * How long @o may wait for a slot: longer for more critical classes, but only
+ * so long that the backend server has at least twice its usual service time
+ * left to answer. 0: it may not wait.
  */
 static uint32_t queue_bound(const lw_admission_t *a, const lw_offer_t *o, double service_ms)
 {
@@ -83,13 +83,14 @@
 
 /*
  * lw_admission_offer() - decide on request @o. *@displaced is set to the id
- * of a less critical queued request that has to make room (to be answered
- * not_run), else 0.
+ * of a less critical queued request that is evicted (to be answered not_run),
+ * else 0.
  *
- * A deadline below the usual service time is refused early. The service
- * time is learned from finished requests alone, so refusing all of them
- * would keep an old, slow estimate for ever and the node would never
- * recover: an idle backend server's estimate is dropped after a second.
+ * A request with a deadline below the usual service time is refused early.
+ * The service time is measured on finished requests alone, so refusing all
+ * requests would keep an outdated high estimate for ever and the node would
+ * never recover. Therefore the estimate of an idle backend server is dropped
+ * after a second.
  */
 lw_verdict_t lw_admission_offer(lw_admission_t *a, const lw_offer_t *o, uint64_t now_ms,
 				uint64_t *displaced)
@@ -104,7 +105,7 @@
 	service_ms = a->limiter.ewma_ms;
 	if (o->deadline_ms < service_ms)
 		return LW_ADMIT_TOO_LATE;
-	if (fits(a, o->cls, now_ms)) {
+	if (may_start(a, o->cls, now_ms)) {
 		a->inflight++;
 		return LW_ADMIT_NOW;
 	}
@@ -120,10 +121,10 @@
 }
 
 /*
- * Of two waiting requests the more critical goes first, then the one deeper
- * in its chain (more work is lost with it), then the older.
+ * Of two waiting requests the more critical precedes, then the deeper one in
+ * its call chain (more work is lost with it), then the older.
  */
-static bool goes_before(const lw_waiting_t *w, const lw_waiting_t *than)
+static bool precedes(const lw_waiting_t *w, const lw_waiting_t *than)
 {
 	if (w->cls != than->cls)
 		return w->cls > than->cls;
@@ -132,15 +133,15 @@
 
 /*
  * lw_admission_next() - take the first queued request, in the order of
- * goes_before(), that fits now; false when none does.
+ * precedes(), that may start now; false if there is none.
  */
 bool lw_admission_next(lw_admission_t *a, uint64_t now_ms, uint64_t *id)
 {
 	size_t best = a->nqueue;
 
 	for (size_t i = 0; i < a->nqueue; i++)
-		if (fits(a, a->queue[i].cls, now_ms) &&
-		    (best == a->nqueue || goes_before(&a->queue[i], &a->queue[best])))
+		if (may_start(a, a->queue[i].cls, now_ms) &&
+		    (best == a->nqueue || precedes(&a->queue[i], &a->queue[best])))
 			best = i;
 	if (best == a->nqueue)
 		return false;
@@ -150,7 +151,7 @@
 	return true;
 }
 
-/* lw_admission_next_expiry() - when the next queued request has waited too long. */
+/* lw_admission_next_expiry() - the time at which the next queued request has waited too long. */
 uint64_t lw_admission_next_expiry(const lw_admission_t *a)
 {
 	uint64_t next = UINT64_MAX;
@@ -161,7 +162,10 @@
 	return next;
 }
 
-/* lw_admission_expired() - take a queued request that waited too long, if any. */
+/*
+ * lw_admission_expired() - take a queued request that has waited too long;
+ * false if there is none.
+ */
 bool lw_admission_expired(lw_admission_t *a, uint64_t now_ms, uint64_t *id)
 {
 	for (size_t i = 0; i < a->nqueue; i++) {
@@ -175,9 +179,9 @@
 }
 
 /*
- * lw_admission_done() - an admitted request left the backend server.
- * @sample: @latency_ms tells how the backend server does (it answered).
- * @overloaded: the backend server refused it for lack of room.
+ * lw_admission_done() - an admitted request has left the backend server.
+ * @sample: @latency_ms is a valid latency sample (the server answered).
+ * @overloaded: the backend server refused the request for lack of capacity.
  */
 void lw_admission_done(lw_admission_t *a, uint32_t latency_ms, bool sample, bool overloaded,
 		       uint64_t now_ms)
@@ -189,9 +193,10 @@
 }
 
 /*
- * lw_admission_retry_after() - when a refused request of class @cls may come
- * back, in ms: the time the work in hand takes to clear, longer for less
- * critical classes so that they do not return first.
+ * lw_admission_retry_after() - the retry-after delay of a refused request of
+ * class @cls, in ms: the time in which the requests in flight and queued are
+ * completed, longer for less critical classes so that they do not return
+ * first.
  */
 uint32_t lw_admission_retry_after(const lw_admission_t *a, lw_class_t cls)
 {
--- a/src/admission.h
+++ b/src/admission.h
@@ -1,8 +1,7 @@
 /*
  * Admission of inbound requests to the local backend server: a concurrency
- * limit (limiter.h), a share of it per criticality class, and a queue
- * bounded in time and length. Pure state; the guard turns its decisions
- * into effects.
+ * limit (limiter.h), a share of it per criticality class, and a queue bounded
+ * in time and length. No I/O; the guard turns the decisions into effects.
  */
 #ifndef LW_ADMISSION_H
 #define LW_ADMISSION_H
@@ -20,15 +19,15 @@
 	uint64_t id;
 	lw_class_t cls;
 	uint32_t depth;
-	uint64_t until_ms; /* answered not_run at this time */
+	uint64_t until_ms; /* the request is answered not_run at this time */
 } lw_waiting_t;
 
-/* a request that asks to be admitted */
+/* A request that is offered for admission. */
 typedef struct lw_offer {
 	uint64_t id;
 	lw_class_t cls;
-	uint32_t depth; /* calls between the user's request and this one */
-	uint32_t deadline_ms; /* left */
+	uint32_t depth; /* number of calls between the user request and this one */
+	uint32_t deadline_ms; /* time left */
 } lw_offer_t;
 
 typedef enum lw_verdict {
@@ -41,8 +40,8 @@
 typedef struct lw_admission {
 	lw_limiter_t limiter;
 	double share[LW_CLASS_COUNT];
-	uint32_t queue_ms; /* longest wait of sheddable work; others wait longer */
-	uint64_t seen[LW_CLASS_COUNT]; /* last arrival of each class, plus one */
+	uint32_t queue_ms; /* longest wait of sheddable requests; other classes wait longer */
+	uint64_t seen[LW_CLASS_COUNT]; /* time of the last arrival of each class, plus one */
 	size_t inflight;
 	size_t nqueue;
 	lw_waiting_t queue[LW_QUEUE_MAX]; /* oldest first */
--- a/src/guard.c
+++ b/src/guard.c
@@ -1,9 +1,9 @@
 /*
- * The guard: the reducer lwnode runs. Inbound (guard_in.c) it replays the
- * stored answers of repeated idempotency keys, admits by class and answers
- * queries about past attempts; outbound (guard_out.c) it chooses a peer and
- * retries within the budgets. Every decision is an effect; nothing here
- * touches a socket or a clock.
+ * The guard: the reducer of lwnode. For inbound requests (guard_in.c) it
+ * replays the stored answers of repeated idempotency keys, admits by class
+ * and answers queries about past attempts; for outbound calls (guard_out.c)
+ * it chooses a peer and retries within the budgets. Every decision is an
+ * effect; the guard uses no sockets and reads no clock.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,10 +15,10 @@
 
 #define IDEM_RECORDS_MAX  16384
 #define IDEM_BYTES_MAX	  (8u << 20)
-#define IDEM_KEEP_MS	  120000 /* repeats are replayed for two minutes */
+#define IDEM_KEEP_MS	  120000 /* answers are replayed to retries for two minutes */
 #define ATTEMPT_MAX	  16384
 #define ATTEMPT_BYTES_MAX (4u << 20)
-#define ATTEMPT_KEEP_MS	  30000 /* longer than any caller asks after its attempt */
+#define ATTEMPT_KEEP_MS	  30000 /* longer than any caller asks about its attempt */
 
 static void on_tick(guard_t *g, const lw_event_t *ev, lw_effects_t *out)
 {
@@ -62,7 +62,7 @@
 	lw_admission_preset(&g->admission, pc->in_force);
 	g->timeout_ms = pc->in_force->timeout_ms;
 	g->bucket.ratio = pc->in_force->retry_ratio;
-	/* read without the node lock by those who only compare it */
+	/* read without the node lock by code that only compares the version */
 	__atomic_store_n(&g->base.info.config_version, pc->version, __ATOMIC_RELAXED);
 	snprintf(g->base.info.preset, sizeof(g->base.info.preset), "%s", pc->in_force->name);
 	lw_peerset_update(g->peers, pc->hosts, pc->nhosts, ev->now_ms);
@@ -133,7 +133,7 @@
 
 static void no_release(void *ctx, void *stored)
 {
-	/* the shell that holds the answers is going away too */
+	/* the shell that holds the answers is being destroyed too */
 	(void)ctx;
 	(void)stored;
 }
@@ -166,8 +166,8 @@
 };
 
 /*
- * lw_guard_new() - the guard reducer for a node in @zone whose backend
- * server has @slots; @seed makes its random choices repeatable.
+ * lw_guard_new() - the guard reducer for a node in @zone whose backend server
+ * has @slots; @seed makes its random choices reproducible.
  */
 lw_policy_t *lw_guard_new(const char *zone, uint32_t slots, uint64_t seed)
 {
--- a/src/guard_in.c
+++ b/src/guard_in.c
@@ -1,5 +1,5 @@
 /*
- * The guard's inbound half: records and replay of repeated requests,
+ * Inbound part of the guard: records and replay of repeated requests,
  * admission by class, queries about past attempts.
  */
 #include <stdlib.h>
@@ -8,7 +8,7 @@
 #include "log.h"
 #include "xalloc.h"
 
-/* guard_release() - a stored answer is needed no longer; @ctx is the effect list. */
+/* guard_release() - a stored answer is no longer needed; @ctx is the effect list. */
 void guard_release(void *ctx, void *answer)
 {
 	lw_effects_push(ctx, &(lw_effect_t){ .kind = LW_FX_RELEASE, .answer = answer });
@@ -38,17 +38,14 @@
 	return c;
 }
 
-/* guard_in_forget() - @c is settled; drop it. */
+/* guard_in_forget() - @c is settled; free it. */
 void guard_in_forget(guard_t *g, guard_in_call_t *c)
 {
 	HASH_DEL(g->in, c);
 	free(c);
 }
 
-/*
- * guard_in_refuse() - @c did not run: a repeat of it may, and no record may
- * say otherwise.
- */
+/* guard_in_refuse() - @c was not executed: a retry of it may be, so its records are removed. */
 void guard_in_refuse(guard_t *g, guard_in_call_t *c, lw_reason_t why, lw_effects_t *out)
 {
 	lw_records_forget(g->by_idem_key, c->idem_key);
@@ -66,7 +63,7 @@
 		out, &(lw_effect_t){ .kind = LW_FX_ADMIT, .id = c->id, .retry_budget = c->budget });
 }
 
-static bool in_record(guard_t *g, const guard_in_call_t *c, lw_effects_t *out)
+static bool begin_records(guard_t *g, const guard_in_call_t *c, lw_effects_t *out)
 {
 	if (lw_key_is_set(c->attempt_key) &&
 	    !lw_records_begin(g->by_attempt, c->attempt_key, guard_release, out))
@@ -93,16 +90,16 @@
 	return c;
 }
 
-static void on_offer(guard_t *g, const lw_event_t *ev, lw_effects_t *out)
+static void offer_request(guard_t *g, const lw_event_t *ev, lw_effects_t *out)
 {
 	guard_in_call_t *c = in_new(g, ev);
 	lw_offer_t offer = {
 		.id = c->id, .cls = c->cls, .depth = c->depth, .deadline_ms = c->deadline_ms
 	};
-	guard_in_call_t *loser;
+	guard_in_call_t *evicted;
 	uint64_t displaced;
 
-	if (!in_record(g, c, out)) {
+	if (!begin_records(g, c, out)) {
 		guard_in_refuse(g, c, LW_R_OVERLOADED, out);
 		return;
 	}
@@ -116,11 +113,11 @@
 		lw_effects_push(out,
 				&(lw_effect_t){ .kind = LW_FX_ARM,
 						.at_ms = lw_admission_next_expiry(&g->admission) });
-		loser = displaced ? guard_in_find(g, displaced) : NULL;
-		if (loser) {
-			lw_effects_log(out, LW_LOG_request_shed, loser->cls,
+		evicted = displaced ? guard_in_find(g, displaced) : NULL;
+		if (evicted) {
+			lw_effects_log(out, LW_LOG_request_shed, evicted->cls,
 				       (int64_t)g->admission.inflight);
-			guard_in_refuse(g, loser, LW_R_OVERLOADED, out);
+			guard_in_refuse(g, evicted, LW_R_OVERLOADED, out);
 		}
 		return;
 	case LW_ADMIT_OVERLOADED:
@@ -135,7 +132,7 @@
 	}
 }
 
-/* answer @ev from a record of its key; false when it has none */
+/* answer @ev from a record of its key; false if there is none */
 static bool from_record(guard_t *g, const lw_event_t *ev, lw_records_t *table, lw_key_t key,
 			lw_effects_t *out)
 {
@@ -145,7 +142,10 @@
 	case LW_REC_NONE:
 		return false;
 	case LW_REC_REFUSED:
-		/* its caller asked, was told "not run", and has moved on */
+		/*
+		 * The caller has queried the attempt, got "not run" and does
+		 * not wait for it any more.
+		 */
 		refuse(g, ev->id, ev->cls, LW_R_NOT_RECEIVED, out);
 		return true;
 	case LW_REC_DONE:
@@ -156,19 +156,20 @@
 							     .answer = stored });
 			return true;
 		}
-		/* fall through: the answer was dropped for room */
+		/* fall through: the answer was dropped to save memory */
 	case LW_REC_RUNNING:
 	case LW_REC_MAYBE:
 		break;
 	}
-	/* the first copy runs or may have run, so this is not "not run" */
+	/* the first copy is executing or may have been executed, so "not run" would be wrong */
 	answer(out, ev->id, LW_UNKNOWN, LW_R_IN_FLIGHT, GUARD_OUT_RETRY_MS);
 	return true;
 }
 
 /*
- * guard_on_in_request() - a caller or peer asks the backend server: replay or
- * refuse from a record, look a repeat up, or offer it for admission.
+ * guard_on_in_request() - a request of a caller or peer for the backend
+ * server: replay or refuse it from a record, look up the record of a retry at
+ * other nodes, or offer the request for admission.
  */
 void guard_on_in_request(guard_t *g, const lw_event_t *ev, lw_effects_t *out)
 {
@@ -176,17 +177,17 @@
 	    from_record(g, ev, g->by_idem_key, ev->idem_key, out))
 		return;
 	if (ev->repeat && lw_key_is_set(ev->idem_key)) {
-		/* it may have run at another node: only a record can tell */
+		/* it may have been executed at another node: only a record shows that */
 		g->base.stats.lookups++;
 		lw_effects_push(out, &(lw_effect_t){ .kind = LW_FX_LOOKUP, .id = ev->id });
 	} else if (g->draining) {
 		answer(out, ev->id, LW_NOT_RUN, LW_R_DRAINING, 0);
 	} else {
-		on_offer(g, ev, out);
+		offer_request(g, ev, out);
 	}
 }
 
-/* guard_on_in_record() - what the other nodes know of a marked repeat. */
+/* guard_on_in_record() - the result of a lookup at the other nodes for a retry. */
 void guard_on_in_record(const lw_event_t *ev, lw_effects_t *out)
 {
 	if (ev->outcome == LW_DONE)
@@ -209,7 +210,7 @@
 	}
 }
 
-/* guard_check_drained() - tell the shell when a drain has nothing left to finish. */
+/* guard_check_drained() - tell the shell when no request is left during a drain. */
 void guard_check_drained(guard_t *g, lw_effects_t *out)
 {
 	if (g->draining && !g->in)
@@ -231,13 +232,16 @@
 		kept[1] = lw_records_settle(g->by_attempt, c->attempt_key, state, ev->answer,
 					    ev->answer_bytes, ev->now_ms, guard_release, out);
 	}
-	/* the shell hands over one reference for each table */
+	/* the shell passes one reference for each table */
 	for (int i = 0; i < 2; i++)
 		if (ev->answer && !kept[i])
 			guard_release(out, ev->answer);
 }
 
-/* guard_on_in_done() - the backend server finished a request: answer, settle, admit. */
+/*
+ * guard_on_in_done() - the backend server finished a request: answer it,
+ * settle its records, admit the next.
+ */
 void guard_on_in_done(guard_t *g, const lw_event_t *ev, lw_effects_t *out)
 {
 	guard_in_call_t *c = guard_in_find(g, ev->id);
@@ -257,7 +261,7 @@
 									  &g->admission, c->cls),
 					.no_retry = ev->outcome != LW_DONE && c->child_failed });
 	settle_records(g, c, ev, out);
-	/* "overloaded" of a call it made says nothing about this backend server */
+	/* "overloaded" from a call the request made says nothing about this backend server */
 	lw_admission_done(&g->admission, ev->latency_ms, ev->outcome != LW_NOT_RUN,
 			  ev->reason == LW_R_OVERLOADED && !c->child_failed, ev->now_ms);
 	guard_in_forget(g, c);
@@ -265,7 +269,7 @@
 	guard_check_drained(g, out);
 }
 
-/* guard_on_query() - a peer asks what became of an attempt, or of a key. */
+/* guard_on_query() - a peer asks for the outcome of an attempt or of a key. */
 void guard_on_query(guard_t *g, const lw_event_t *ev, lw_effects_t *out)
 {
 	lw_effect_t fx = { .kind = LW_FX_RECORD, .id = ev->id };
@@ -274,8 +278,9 @@
 	fx.record = lw_records_find(table, ev->attempt_key, &fx.answer);
 	if (fx.record == LW_REC_NONE && ev->refuse) {
 		/*
-		 * The caller may treat "never received" as "not run" only if the
-		 * request, should it still arrive, is refused: bar it first.
+		 * The caller may treat "never received" as "not run" only if
+		 * the request is refused should it still arrive. So the
+		 * refusal is recorded first.
 		 */
 		lw_records_settle(table, ev->attempt_key, LW_REC_REFUSED, NULL, 0, ev->now_ms,
 				  guard_release, out);
--- a/src/guard_int.h
+++ b/src/guard_int.h
@@ -1,7 +1,8 @@
 /*
- * What the guard's parts share: guard_in.c (requests of callers and peers to
- * the local backend server), guard_out.c (its calls to other services) and
- * guard.c (the reducer that hands each event to one of them).
+ * Private to the parts of the guard: guard_in.c (requests of callers and
+ * peers to the local backend server), guard_out.c (calls of the backend
+ * server to other services) and guard.c (the reducer that dispatches each
+ * event to one of them).
  */
 #ifndef LW_GUARD_INT_H
 #define LW_GUARD_INT_H
@@ -12,7 +13,7 @@
 #include "policy.h"
 #include "retrybudget.h"
 
-/* when to come back to a service that has no room */
+/* retry-after delay for a service without free capacity */
 #define GUARD_OUT_RETRY_MS 200
 
 typedef struct guard_in_call {
@@ -22,17 +23,17 @@
 	uint32_t deadline_ms;
 	uint32_t budget; /* retries left for the calls it makes */
 	uint32_t depth;
-	bool running; /* at the backend server, not queued */
-	bool child_failed; /* a call it made failed and was retried there */
+	bool running; /* executing at the backend server, not queued */
+	bool child_failed; /* a call made by the request failed and was retried there */
 	UT_hash_handle hh;
 } guard_in_call_t;
 
 typedef struct guard_out_call {
 	uint64_t id;
-	uint64_t parent; /* inbound call whose budget it borrowed, or 0 */
+	uint64_t parent; /* inbound call that the budget was borrowed from, or 0 */
 	uint32_t service;
 	bool idempotent;
-	bool maybe_ran; /* an earlier attempt ended unknown: "not run" would be a lie */
+	bool maybe_ran; /* the outcome of an earlier attempt is unknown, so "not run" must not be answered */
 	uint64_t deadline_at;
 	lw_user_budget_t budget;
 	uint32_t depth;
--- a/src/guard_out.c
+++ b/src/guard_out.c
@@ -1,6 +1,7 @@
 /*
- * The guard's outbound half: the choice of a peer for each attempt, retries
- * within the budgets, and what the replies tell of the peers.
+ * Outbound part of the guard: the choice of a peer for each attempt, retries
+ * within the budgets, and the state of the peers as derived from their
+ * replies.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,9 +10,9 @@
 #include "log.h"
 #include "xalloc.h"
 
-#define CALLS_MAX	1024 /* outbound calls open at once */
-#define MIN_ATTEMPT_MS	2 /* less time than this left: do not try */
-#define PROBE_LATENCIES 4.0 /* silent for so many usual latencies: ask */
+#define CALLS_MAX	1024 /* most outbound calls open at once */
+#define MIN_ATTEMPT_MS	2 /* no attempt is made with less time left */
+#define PROBE_LATENCIES 4.0 /* ask the peer after a silence of this many usual latencies */
 #define PROBE_MIN_MS	50
 
 static void out_finish(guard_t *g, guard_out_call_t *c, bool failed)
@@ -33,17 +34,19 @@
 		o = LW_UNKNOWN;
 		r = LW_R_TIMEOUT;
 	}
-	lw_effects_push(out,
-			&(lw_effect_t){
-				.kind = LW_FX_ANSWER,
-				.id = c->id,
-				.outcome = o,
-				.reason = r,
-				.retries_used = c->budget.used,
-				/* the layer nearest the failure has tried: those above must not */
-				.no_retry = o != LW_DONE,
-				.retry_after_ms = o == LW_DONE ? 0 : GUARD_OUT_RETRY_MS,
-			});
+	lw_effects_push(out, &(lw_effect_t){
+				     .kind = LW_FX_ANSWER,
+				     .id = c->id,
+				     .outcome = o,
+				     .reason = r,
+				     .retries_used = c->budget.used,
+				     /*
+				 * The layer nearest to the failure has
+				 * retried: the layers above must not.
+				 */
+				     .no_retry = o != LW_DONE,
+				     .retry_after_ms = o == LW_DONE ? 0 : GUARD_OUT_RETRY_MS,
+			     });
 	out_finish(g, c, o != LW_DONE);
 }
 
@@ -105,7 +108,7 @@
 	c->peer = -1;
 	c->depth = 1;
 	if (parent) {
-		/* borrow all of it: two calls of one request must not spend it twice */
+		/* borrow the whole budget: two calls of one request must not spend it twice */
 		c->parent = ev->parent;
 		c->depth = parent->depth + 1;
 		c->budget.total = parent->budget;
@@ -115,7 +118,7 @@
 	send_attempt(g, c, ev->now_ms, out);
 }
 
-static void note_peer(guard_t *g, const lw_event_t *ev, lw_effects_t *out)
+static void update_peer(guard_t *g, const lw_event_t *ev, lw_effects_t *out)
 {
 	lw_peer_t *p = lw_peerset_get(g->peers, ev->peer);
 	bool was_draining;
@@ -134,7 +137,7 @@
 	if (ev->outcome == LW_DONE)
 		p->latency_ms +=
 			(p->latency_ms == 0 ? 1.0 : 0.1) * (ev->latency_ms - p->latency_ms);
-	/* a peer that refuses work in good order is no failed peer */
+	/* a peer that refuses work in a regular reply has not failed */
 	if (ev->outcome == LW_UNKNOWN || (ev->outcome == LW_NOT_RUN && !ev->reached) ||
 	    ev->reason == LW_R_BACKEND_ERROR) {
 		if (lw_peer_failed(p, ev->now_ms))
@@ -150,10 +153,10 @@
 {
 	if (ev->outcome == LW_DONE || ev->no_retry || ev->reason == LW_R_DEADLINE)
 		return false;
-	/* an attempt that may have run is repeated only if repeating is harmless */
+	/* an attempt that may have been executed is retried only if the call is idempotent */
 	if (ev->outcome == LW_UNKNOWN && !c->idempotent)
 		return false;
-	/* more of the same to a service that has no room anywhere keeps it down */
+	/* retries to a service without free capacity at any peer keep it overloaded */
 	if (ev->reason == LW_R_OVERLOADED &&
 	    !lw_peerset_has_room(g->peers, c->service, c->peer, ev->now_ms))
 		return false;
@@ -165,15 +168,15 @@
 	return true;
 }
 
-/* guard_on_out_reply() - an attempt ended: answer the call, or try elsewhere. */
+/* guard_on_out_reply() - an attempt ended: answer the call, or try another peer. */
 void guard_on_out_reply(guard_t *g, const lw_event_t *ev, lw_effects_t *out)
 {
 	guard_out_call_t *c = NULL;
 
-	note_peer(g, ev, out);
+	update_peer(g, ev, out);
 	HASH_FIND(hh, g->out, &ev->id, sizeof(ev->id), c);
 	if (!c || c->peer != ev->peer) {
-		/* the caller was answered already: never hand this to anyone */
+		/* the call was answered already: drop the reply */
 		g->base.stats.late_replies++;
 		lw_effects_log(out, LW_LOG_late_reply_dropped, (int64_t)ev->id, ev->peer);
 		return;
--- a/src/limiter.c
+++ b/src/limiter.c
@@ -2,9 +2,9 @@
 #include "limiter.h"
 
 /*
- * Short-run latency over this many times the long-run one is a sick server.
- * Below that it may just be slower, and running fewer requests than it has
- * slots then only costs throughput (measured: docs/MEASUREMENTS.md).
+ * A short-run latency above the long-run one by this factor means overload.
+ * Below it the server may just be slower, and executing fewer requests than
+ * it has slots would only cost throughput (docs/MEASUREMENTS.md).
  */
 #define LIMITER_TOLERANCE 5.0
 #define LIMITER_BACKOFF	  0.9
@@ -12,10 +12,10 @@
 #define LIMITER_EWMA_LONG 0.01
 
 /*
- * lw_limiter_init() - start at the backend's @slots, allowed to move
- * between a quarter of them and all of them. It never grows past the
- * slots: what a backend server cannot run it refuses, and each refusal
- * costs a round trip and a retry that admission here would have saved.
+ * lw_limiter_init() - start at the @slots of the backend; the limit moves
+ * between a quarter of them and all of them. It never exceeds the slots: a
+ * backend server refuses what it cannot execute, and each refusal costs a
+ * round trip and a retry that admission here would have saved.
  */
 void lw_limiter_init(lw_limiter_t *l, uint32_t slots)
 {
@@ -29,23 +29,24 @@
 }
 
 /*
- * lw_limiter_sample() - learn from one finished request.
- * @latency_ms: time the backend took.
- * @overloaded: the backend refused it or failed.
- * @now_ms: when it finished (monotonic).
+ * lw_limiter_sample() - update the limit after a finished request.
+ * @latency_ms: response time of the backend. @overloaded: the backend refused
+ * the request or failed. @now_ms: when it finished (monotonic).
  *
  * A burst refused within one latency window is one congestion event, so the
- * limit is cut at most once per window (RFC 5681, section 3.1: one halving
- * per round trip). Refusals come back fast and are no sample of latency.
+ * limit is reduced at most once per window (RFC 5681, section 3.1: one
+ * halving per round trip). Refusals return quickly and are not used as
+ * latency samples.
  */
 void lw_limiter_sample(lw_limiter_t *l, uint32_t latency_ms, bool overloaded, uint64_t now_ms)
 {
 	double lat = latency_ms;
 
 	/*
-	 * Comparing single samples with the best ever seen mistakes variance
-	 * for congestion (service times are often exponential); averages do not.
-	 * The long-run average follows a backend that became slower for good.
+	 * Comparing single samples with the lowest latency seen would mistake
+	 * variance for congestion (service times are often exponential);
+	 * averages do not. The long-run average follows a backend that became
+	 * slower permanently.
 	 */
 	if (!overloaded) {
 		l->sampled_ms = now_ms;
--- a/src/limiter.h
+++ b/src/limiter.h
@@ -1,9 +1,9 @@
 /*
- * Adaptive concurrency limit of one backend server: additive increase
- * while the short-run latency stays within five times the long-run latency,
- * multiplicative decrease when it grows past that or the backend refuses
- * work (AIMD, as TCP congestion control, RFC 5681, applied to in-flight
- * requests; the two averages are the gradient idea of Netflix's
+ * Adaptive concurrency limit of one backend server: additive increase while
+ * the short-run latency stays within five times the long-run latency,
+ * multiplicative decrease when it exceeds that or the backend refuses
+ * requests (AIMD, as in TCP congestion control, RFC 5681, applied to
+ * in-flight requests; the two averages follow the gradient idea of Netflix's
  * concurrency-limits, without its code).
  */
 #ifndef LW_LIMITER_H
@@ -16,9 +16,9 @@
 	double limit; /* requests allowed in flight */
 	double min, max;
 	double ewma_ms; /* short-run latency average, also for deadline checks */
-	double long_ms; /* long-run latency average: what "normal" is */
+	double long_ms; /* long-run latency average: the normal latency */
 	uint64_t sampled_ms; /* time of the last latency sample */
-	uint64_t next_cut_ms; /* no second cut before this time */
+	uint64_t next_cut_ms; /* the limit is not reduced again before this time */
 } lw_limiter_t;
 
 void lw_limiter_init(lw_limiter_t *l, uint32_t slots);
--- a/src/naive.c
+++ b/src/naive.c
@@ -1,7 +1,7 @@
 /*
- * The naive baseline: what a plain client library does. It admits all,
- * sends round robin over the host list, and retries any failure three
- * times at every hop. The differential tests run it beside the guard.
+ * The naive baseline: the behaviour of a plain client library. It admits all
+ * requests, sends round robin over the host list, and retries any failure
+ * three times at every hop. The differential tests run it beside the guard.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -117,7 +117,7 @@
 					     .outcome = ev->outcome,
 					     .reason = ev->reason,
 					     .answer = ev->answer });
-	/* the shell hands over two references (see the guard's two tables) */
+	/* the shell passes two references (see the two tables of the guard) */
 	for (int i = 0; ev->answer && i < 2; i++)
 		lw_effects_push(out, &(lw_effect_t){ .kind = LW_FX_RELEASE, .answer = ev->answer });
 	if (n->base.info.inflight)
@@ -184,7 +184,7 @@
 	.destroy = naive_destroy,
 };
 
-/* lw_naive_new() - the baseline reducer; @slots is ignored: it admits all. */
+/* lw_naive_new() - the baseline reducer; @slots is ignored, as it admits all requests. */
 lw_policy_t *lw_naive_new(const char *zone, uint32_t slots, uint64_t seed)
 {
 	naive_t *n = xcalloc(1, sizeof(*n));
--- a/src/policy.c
+++ b/src/policy.c
@@ -1,4 +1,4 @@
-/* Parts shared by every reducer: effect lists, names, and the factory. */
+/* Parts shared by all reducers: effect lists, names, and the factory. */
 #include "policy.h"
 
 #include <stdlib.h>
@@ -19,7 +19,7 @@
 	out->fx[out->n++] = *fx;
 }
 
-/* lw_effects_free() - release the list's memory; @out is empty again. */
+/* lw_effects_free() - free the memory of the list; @out is empty afterwards. */
 void lw_effects_free(lw_effects_t *out)
 {
 	free(out->fx);
@@ -40,7 +40,7 @@
 	return (unsigned)o < 3 ? names[o] : "?";
 }
 
-/* lw_reason_name() - the wire name of @r. */
+/* lw_reason_name() - the name of @r on the wire. */
 const char *lw_reason_name(lw_reason_t r)
 {
 	static const char *const names[LW_R_COUNT] = {
@@ -52,7 +52,7 @@
 	return (unsigned)r < LW_R_COUNT ? names[r] : "?";
 }
 
-/* lw_policy_new() - the reducer called @name ("guard" or "naive"), or NULL. */
+/* lw_policy_new() - the reducer named @name ("guard" or "naive"), or NULL. */
 lw_policy_t *lw_policy_new(const char *name, const char *zone, uint32_t slots, uint64_t seed)
 {
 	if (strcmp(name, "guard") == 0)
--- a/src/policy.h
+++ b/src/policy.h
@@ -1,9 +1,9 @@
 /*
  * The policy core: one reducer over all events of a node, with effects as
  * data. It does no I/O and reads no clock; the shell (node.c) turns sockets
- * and timers into events, calls step(), and carries out the effects. Two
- * reducers stand behind the same ops table: the guard (policy.c) and the
- * naive baseline (naive.c) that the differential tests compare against.
+ * and timers into events, calls step(), and carries out the effects. There
+ * are two reducers with the same operations table: the guard (guard.c) and
+ * the naive baseline (naive.c) that the differential tests compare it with.
  */
 #ifndef LW_POLICY_H
 #define LW_POLICY_H
@@ -17,9 +17,9 @@
 #include "records.h"
 
 typedef enum lw_outcome {
-	LW_DONE = 0, /* the backend answered; the answer is passed on */
+	LW_DONE = 0, /* the backend answered; the answer is forwarded */
 	LW_NOT_RUN = 1, /* no backend can have received the request */
-	LW_UNKNOWN = 2, /* sent, but no answer in time: it may have run */
+	LW_UNKNOWN = 2, /* sent, but not answered in time: it may have been executed */
 } lw_outcome_t;
 
 typedef enum lw_reason {
@@ -28,24 +28,24 @@
 	LW_R_DRAINING,
 	LW_R_DEADLINE,
 	LW_R_NO_BACKEND,
-	LW_R_IN_FLIGHT, /* the same idempotency key is being run now */
+	LW_R_IN_FLIGHT, /* a request with the same idempotency key is executing now */
 	LW_R_BACKEND_ERROR,
 	LW_R_TIMEOUT,
-	LW_R_NOT_RECEIVED, /* the peer never got it, and now refuses it for good */
-	LW_R_NO_RECORD, /* a repeat whose first attempt nobody remembers */
+	LW_R_NOT_RECEIVED, /* the peer never received it and will refuse it from now on */
+	LW_R_NO_RECORD, /* a retry whose first attempt has no record at any node */
 	LW_R_STARTING, /* the node has not joined the fleet yet */
 	LW_R_COUNT
 } lw_reason_t;
 
 typedef enum lw_event_kind {
-	LW_EV_IN_REQUEST, /* a caller or peer asks this node's backend server */
-	LW_EV_IN_RECORD, /* what other nodes know of a repeat: outcome, answer */
+	LW_EV_IN_REQUEST, /* a request of a caller or peer for this node's backend server */
+	LW_EV_IN_RECORD, /* result of a lookup for a retry at other nodes: outcome, answer */
 	LW_EV_IN_DONE, /* this node's backend server finished a request */
 	LW_EV_OUT_REQUEST, /* the local backend server calls another service */
-	LW_EV_OUT_REPLY, /* a peer answered (or failed to) */
-	LW_EV_PEER_STATE, /* a heartbeat told a peer's state */
-	LW_EV_QUERY, /* a peer asks what became of an attempt or a key */
-	LW_EV_TICK, /* the timer service's tick */
+	LW_EV_OUT_REPLY, /* a peer answered or failed to answer */
+	LW_EV_PEER_STATE, /* a heartbeat reported the state of a peer */
+	LW_EV_QUERY, /* a peer asks for the outcome of an attempt or a key */
+	LW_EV_TICK, /* tick of the timer service */
 	LW_EV_CONFIG, /* a newer configuration was accepted */
 	LW_EV_DRAIN, /* SIGTERM or lwctl drain */
 	LW_EV_COUNT
@@ -53,17 +53,17 @@
 
 typedef struct lw_event {
 	lw_event_kind_t kind;
-	uint64_t now_ms; /* monotonic time, given by the shell */
+	uint64_t now_ms; /* monotonic time, passed by the shell */
 	uint64_t id; /* request id of IN_* and OUT_* events; query id of QUERY */
 	lw_class_t cls;
-	uint32_t deadline_ms; /* remaining, relative */
+	uint32_t deadline_ms; /* time remaining */
 	uint32_t retry_budget;
-	lw_key_t idem_key; /* of route and idempotency key */
-	lw_key_t attempt_key; /* of the sender and its attempt; QUERY: what is asked */
-	bool repeat; /* an earlier attempt with this key ended unknown */
+	lw_key_t idem_key; /* hash of route and idempotency key */
+	lw_key_t attempt_key; /* hash of the sender and its attempt; QUERY: the key asked for */
+	bool repeat; /* the outcome of an earlier attempt with this key is unknown */
 	bool idempotent;
-	uint32_t depth; /* IN_REQUEST: calls between the user's request and it */
-	uint64_t parent; /* OUT_REQUEST: the inbound request it is part of, or 0 */
+	uint32_t depth; /* IN_REQUEST: number of calls between the user request and this one */
+	uint64_t parent; /* OUT_REQUEST: the inbound request that makes the call, or 0 */
 	uint32_t service; /* OUT_REQUEST: index of the target service */
 	int peer; /* OUT_REPLY, PEER_STATE: index into the peer set */
 	lw_outcome_t outcome;
@@ -72,26 +72,26 @@
 	bool server_error; /* OUT_REPLY: done, but with a 5xx status */
 	bool draining;
 	bool no_retry;
-	bool refuse; /* QUERY: if never seen, refuse it from now on */
-	uint64_t incarnation; /* OUT_REPLY, PEER_STATE: the peer's */
+	bool refuse; /* QUERY: if the attempt was never received, refuse it from now on */
+	uint64_t incarnation; /* OUT_REPLY, PEER_STATE: incarnation of the peer */
 	uint32_t retries_used;
 	uint32_t load_permille;
 	uint32_t latency_ms;
-	void *answer; /* IN_DONE, IN_RECORD: shell's handle of the stored answer */
+	void *answer; /* IN_DONE, IN_RECORD: the shell's handle of the stored answer */
 	size_t answer_bytes;
 	const lw_platconf_t *config;
 } lw_event_t;
 
 typedef enum lw_effect_kind {
-	LW_FX_ADMIT, /* run request id on the local backend server now */
+	LW_FX_ADMIT, /* execute request id on the local backend server now */
 	LW_FX_QUEUE, /* hold request id until ADMIT or ANSWER */
-	LW_FX_ANSWER, /* answer request id with outcome/reason */
+	LW_FX_ANSWER, /* answer request id with outcome and reason */
 	LW_FX_REPLAY, /* answer request id with the stored answer */
-	LW_FX_LOOKUP, /* ask the other nodes of this service for request id's key */
+	LW_FX_LOOKUP, /* look up request id's key at the other nodes of this service */
 	LW_FX_SEND, /* send request id to peer, with timeout_ms */
 	LW_FX_RECORD, /* answer query id with record and answer */
 	LW_FX_RELEASE, /* the stored answer handle is no longer needed */
-	LW_FX_ARM, /* feed a TICK at at_ms */
+	LW_FX_ARM, /* send a TICK event at at_ms */
 	LW_FX_LOG, /* write event log_id with a, b */
 	LW_FX_EXIT, /* drain is complete */
 } lw_effect_kind_t;
@@ -107,9 +107,9 @@
 	int peer;
 	uint32_t attempt;
 	uint32_t timeout_ms;
-	uint32_t probe_ms; /* SEND: silent for so long, ask the peer what became of it */
-	uint32_t retry_budget; /* SEND, ADMIT: budget left for what it calls */
-	uint32_t depth; /* SEND */
+	uint32_t probe_ms; /* SEND: after this time of silence, ask the peer for the outcome */
+	uint32_t retry_budget; /* SEND, ADMIT: budget left for the calls that the request makes */
+	uint32_t depth; /* SEND: depth in the call graph */
 	lw_record_state_t record;
 	uint64_t at_ms;
 	void *answer;
@@ -117,7 +117,7 @@
 	int64_t a, b;
 } lw_effect_t;
 
-/* A growing list; start from zeroes, release with lw_effects_free(). */
+/* A growing list; initialise with zeroes, free with lw_effects_free(). */
 typedef struct lw_effects {
 	size_t n, cap;
 	lw_effect_t *fx;
@@ -131,7 +131,7 @@
 	void (*destroy)(lw_policy_t *p);
 } lw_policy_ops_t;
 
-/* Counters the reducer keeps; the shell reads them for /metrics. */
+/* Counters of the reducer; the shell reads them for /metrics. */
 typedef struct lw_policy_stats {
 	uint64_t admitted[LW_CLASS_COUNT];
 	uint64_t shed[LW_CLASS_COUNT];
@@ -141,7 +141,8 @@
 	uint64_t dedup_hits;
 	uint64_t late_replies;
 	uint64_t lookups;
-	uint64_t refused_for_good; /* queries that found nothing and barred the attempt */
+	uint64_t
+		refused_for_good; /* queries without a record; the attempt is refused from then on */
 } lw_policy_stats_t;
 
 typedef struct lw_policy_info {
@@ -157,7 +158,7 @@
 	const lw_peerset_t *peers;
 } lw_policy_info_t;
 
-/* The first member of every reducer, so callers need only this header. */
+/* The first member of every reducer, so that callers need only this header. */
 struct lw_policy {
 	const lw_policy_ops_t *ops;
 	lw_policy_stats_t stats;
