--- a/tests/decide.c
+++ b/tests/decide.c
@@ -1,8 +1,8 @@
 /*
- * Scripted runs of the proxy's decisions: commands in, expected output. A
- * script is a text file. A line that starts with "> " is a command; the lines
- * up to the next command are its output, word for word. Lines starting with #
- * are comments. Each script starts with fresh modules. Times are in ms.
+ * Scripted tests of the proxy's decisions. A script is a text file. A line
+ * that starts with "> " is a command; the lines up to the next command are
+ * its exact expected output. Lines starting with # are comments. Each script
+ * starts with newly initialised modules. Times are in ms.
  */
 #include <dirent.h>
 #include <stdarg.h>
@@ -18,7 +18,7 @@
 	decide_lease_commands, decide_spread_commands, decide_quarantine_commands,
 };
 
-/* word() - word @i of the command, empty if there is none. */
+/* word() - word @i of the command, or the empty string. */
 const char *word(const words_t *a, int i)
 {
 	return i < a->n ? a->w[i] : "";
@@ -30,7 +30,7 @@
 	return strtol(word(a, i), NULL, 10);
 }
 
-/* ms() - word @i, milliseconds, in microseconds. */
+/* ms() - word @i, in milliseconds, converted to microseconds. */
 uint64_t ms(const words_t *a, int i)
 {
 	return (uint64_t)num(a, i) * 1000;
@@ -45,8 +45,8 @@
 	return false;
 }
 
-/* say() - a line of output. */
-void say(world_t *w, const char *fmt, ...)
+/* emit() - add a line of output. */
+void emit(world_t *w, const char *fmt, ...)
 {
 	char line[1024];
 	va_list ap;
@@ -78,7 +78,7 @@
 				c->run(w, &a);
 				return;
 			}
-	say(w, "unknown command %s", word(&a, 0));
+	emit(w, "unknown command %s", word(&a, 0));
 }
 
 static void world_init(world_t *w)
@@ -92,8 +92,8 @@
 	lw_place_init(&w->place, "zone-a", "10.0.0.1:80", 7000, decide_retry_terms);
 }
 
-/* run the script at @path; what it should print and what it prints */
-static bool play(const char *path, lw_bytebuf_t *want, lw_bytebuf_t *got)
+/* run the script at @path; collect its expected and its actual output */
+static bool run_script(const char *path, lw_bytebuf_t *want, lw_bytebuf_t *got)
 {
 	FILE *f = fopen(path, "r");
 	char line[2048];
@@ -146,8 +146,8 @@
 		(int)strcspn(got, "\n"), got);
 }
 
-/* whether KNOWN-RED.txt lists the script: passed over, unless DECIDE_RED asks for it */
-static bool known_red(const char *name)
+/* whether KNOWN-RED.txt lists the script: it is skipped unless DECIDE_RED is set */
+static bool is_known_red(const char *name)
 {
 	FILE *f = fopen("KNOWN-RED.txt", "r");
 	char line[2048], path[300];
@@ -176,10 +176,10 @@
 		char path[512];
 		bool same;
 
-		if (!strstr(e->d_name, ".txt") || known_red(e->d_name))
+		if (!strstr(e->d_name, ".txt") || is_known_red(e->d_name))
 			continue;
 		snprintf(path, sizeof(path), "%s/%s", scripts_dir, e->d_name);
-		same = play(path, &want, &got) && strcmp(want.data, got.data) == 0;
+		same = run_script(path, &want, &got) && strcmp(want.data, got.data) == 0;
 		if (!same && want.data)
 			report(e->d_name, want.data, got.data);
 		if (getenv("DECIDE_PRINT"))
@@ -194,7 +194,7 @@
 	CU_ASSERT_TRUE(played > 0);
 }
 
-/* suite_decisions() - register the scripted runs in @dir. */
+/* suite_decisions() - register the scripts in @dir. */
 void suite_decisions(const char *dir)
 {
 	CU_pSuite s = CU_add_suite("decisions", NULL, NULL);
--- a/tests/decide.h
+++ b/tests/decide.h
@@ -1,6 +1,6 @@
 /*
- * What the scripted runs of the decisions share: the modules of one script, the
- * words of a command, and the groups of commands.
+ * Shared by the scripted tests of decisions: the modules of one script, the
+ * words of a command, and the command tables.
  */
 #ifndef DECIDE_H
 #define DECIDE_H
@@ -52,7 +52,7 @@
 	void (*run)(world_t *w, const words_t *a);
 } command_t;
 
-/* Groups of commands; each ends with an entry without a name. */
+/* Command tables; each ends with an entry without a name. */
 extern const command_t decide_route_commands[];
 extern const command_t decide_retry_commands[];
 extern const command_t decide_place_commands[];
@@ -65,7 +65,7 @@
 long num(const words_t *a, int i);
 uint64_t ms(const words_t *a, int i);
 bool has(const words_t *a, const char *flag);
-void say(world_t *w, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void emit(world_t *w, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 void decide_head(world_t *w, bool request, char *text);
 
 #endif
--- a/tests/decide_lease.c
+++ b/tests/decide_lease.c
@@ -1,4 +1,4 @@
-/* Scripted decisions on the lease of the backend server on this host. */
+/* Script commands for the lease of the backend server on this host. */
 #include <string.h>
 
 #include "decide.h"
@@ -12,7 +12,10 @@
 		lw_lease_missing(&w->lease, ms(a, 2));
 }
 
-/* step NOW read AT failed AT healthy AT [leaving] [pending]: what the node beside the server knows */
+/*
+ * Step NOW read AT failed AT healthy AT [leaving] [pending]: what the node of
+ * the server has observed.
+ */
 static void do_step(world_t *w, const words_t *a)
 {
 	lw_lease_evidence_t ev = {
@@ -25,9 +28,9 @@
 	};
 
 	lw_lease_step(&w->lease, &ev);
-	say(w, "%s by %s%s%s", lw_lease_state_name(w->lease.state),
-	    lw_lease_cause_name(w->lease.cause), lw_lease_in_use(&w->lease) ? ", in use" : "",
-	    lw_lease_vouches(&w->lease, &ev) ? ", vouched" : "");
+	emit(w, "%s by %s%s%s", lw_lease_state_name(w->lease.state),
+	     lw_lease_cause_name(w->lease.cause), lw_lease_in_use(&w->lease) ? ", in use" : "",
+	     lw_lease_vouches(&w->lease, &ev) ? ", vouched" : "");
 }
 
 const command_t decide_lease_commands[] = {
--- a/tests/decide_place.c
+++ b/tests/decide_place.c
@@ -1,4 +1,4 @@
-/* Scripted decisions on servers' entries, and placement. */
+/* Script commands for server entries and placement. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -46,7 +46,7 @@
 	lw_serverset_store_away(w->entries, ms(a, 1));
 }
 
-/* restoring: the store is back from a copy, which is read now | restored AT ERA REVISION */
+/* restoring: the store was restored from a copy, which is read now | restored AT ERA REVISION */
 static void do_restoring(world_t *w, const words_t *a)
 {
 	(void)a;
@@ -59,7 +59,7 @@
 			      lw_storepos((uint32_t)num(a, 2), (uint64_t)num(a, 3)));
 }
 
-/* seed ID SERVICE ADDR ZONE SLOTS CREATED ...: one server is in use, and no other is known */
+/* seed ID SERVICE ADDR ZONE SLOTS CREATED ...: one server is in use and no other is known */
 static void do_seed(world_t *w, const words_t *a)
 {
 	lw_server_entry_t e = entry_of(a);
@@ -67,13 +67,13 @@
 	lw_serverset_seed(w->entries, &(lw_serverlist_t){ .servers = &e, .nservers = 1 });
 }
 
-/* places ERA REVISION ERA REVISION: whether the second one is later in the store's history */
+/* places ERA REVISION ERA REVISION: whether the second position is later in the store's history */
 static void do_places(world_t *w, const words_t *a)
 {
 	uint64_t first = lw_storepos((uint32_t)num(a, 1), (uint64_t)num(a, 2));
 	uint64_t second = lw_storepos((uint32_t)num(a, 3), (uint64_t)num(a, 4));
 
-	say(w, "%s", second > first ? "later" : "not later");
+	emit(w, "%s", second > first ? "later" : "not later");
 }
 
 static void do_resume(world_t *w, const words_t *a)
@@ -82,7 +82,7 @@
 	lw_serverset_resume(w->entries);
 }
 
-/* services NAME...: those of the configuration */
+/* services NAME...: the services of the configuration */
 static void do_services(world_t *w, const words_t *a)
 {
 	lw_fleetconf_t *fc = lw_fleetconf_new();
@@ -111,19 +111,19 @@
 	lw_serverlist_t *sl = lw_serverset_changed(w->entries, ms(a, 1));
 
 	if (!sl) {
-		say(w, "unchanged");
+		emit(w, "unchanged");
 		return;
 	}
 	qsort(sl->servers, sl->nservers, sizeof(*sl->servers), by_id);
 	for (size_t i = 0; i < sl->nservers; i++)
-		say(w, "%s %s%s", sl->servers[i].id, sl->servers[i].service,
-		    sl->servers[i].draining ? " draining" : "");
+		emit(w, "%s %s%s", sl->servers[i].id, sl->servers[i].service,
+		     sl->servers[i].draining ? " draining" : "");
 	if (!sl->nservers)
-		say(w, "empty");
+		emit(w, "empty");
 	lw_serverlist_free(sl);
 }
 
-/* host ...: as entry, into the list of placement | hosts-apply AT [LAPSED-UNTIL] */
+/* host ...: like entry, added to the list of placement | hosts-apply AT [LAPSED-UNTIL] */
 static void do_host(world_t *w, const words_t *a)
 {
 	w->list.servers =
@@ -146,7 +146,7 @@
 	return NULL;
 }
 
-/* [leaves ID born N] or [takes PER_S] among the words: what the node's backend server announces */
+/* [leaves ID born N] or [takes PER_S] among the words: the announcement of the backend server */
 static lw_notice_t notice_of(const words_t *a)
 {
 	if (has(a, "takes"))
@@ -172,17 +172,17 @@
 		&w->place, host_of(w, word(a, 1))->node, &load, ms(a, 6));
 
 	if (leaving)
-		say(w, "news: %s leaves", leaving->id);
+		emit(w, "news: %s leaves", leaving->id);
 }
 
-/* vouch ID AT [born N]: the node beside the server says that it lives */
+/* vouch ID AT [born N]: the node of the server asserts that the server is alive */
 static void do_vouch(world_t *w, const words_t *a)
 {
 	uint64_t born = strcmp(word(a, 3), "born") == 0 ? (uint64_t)num(a, 4) : 0;
 	bool again = lw_place_assert_alive(&w->place, host_of(w, word(a, 1))->node, word(a, 1),
 					   born, ms(a, 2));
 
-	say(w, "%s", again ? "used again" : "no change");
+	emit(w, "%s", again ? "used again" : "no change");
 }
 
 static void do_lost(world_t *w, const words_t *a)
@@ -201,7 +201,7 @@
 	}
 }
 
-/* pick SERVICE COUNT BODY AT [not ID]...: how often each host is chosen, loads unchanged */
+/* pick SERVICE COUNT BODY AT [not ID]...: how often each host is chosen, with loads unchanged */
 static void do_pick(world_t *w, const words_t *a)
 {
 	lw_place_service_t *s = lw_place_service(&w->place, word(a, 1));
@@ -225,12 +225,15 @@
 	k = 0;
 	for (lw_place_host_t *h = s->hosts; h; h = h->next, k++)
 		if (got[k])
-			say(w, "%s %ld", h->id, got[k]);
+			emit(w, "%s %ld", h->id, got[k]);
 	if (none)
-		say(w, "none %ld", none);
+		emit(w, "none %ld", none);
 }
 
-/* pick-again SERVICE AT [had ID | back ID]...: who gets again what the first had, the others not */
+/*
+ * pick-again SERVICE AT [had ID | back ID]...: the host a request is resent
+ * to, out of those that had it and did not reject it.
+ */
 static void do_pick_again(world_t *w, const words_t *a)
 {
 	lw_place_service_t *s = lw_place_service(&w->place, word(a, 1));
@@ -244,7 +247,7 @@
 			lw_place_mark_rejected(&tried, host_of(w, word(a, i + 1)));
 	}
 	pick = lw_place_pick_resend(s, &tried, &ask);
-	say(w, "%s", pick ? pick->id : "none");
+	emit(w, "%s", pick ? pick->id : "none");
 }
 
 const command_t decide_place_commands[] = {
--- a/tests/decide_quarantine.c
+++ b/tests/decide_quarantine.c
@@ -1,4 +1,4 @@
-/* Scripted decisions on requests under which backend servers ended. */
+/* Script commands for requests that crash backend servers. */
 #include <string.h>
 
 #include "decide.h"
@@ -12,21 +12,21 @@
 	return f.value;
 }
 
-static void say_known(world_t *w, const lw_suspect_t *s)
+static void emit_known(world_t *w, const lw_suspect_t *s)
 {
 	if (s)
-		say(w, "ends %u trials %u", s->nends, s->trials);
+		emit(w, "ends %u trials %u", s->nends, s->trials);
 	else
-		say(w, "nothing to tell");
+		emit(w, "nothing to tell");
 }
 
-/* ended REQUEST PROCESS AT [tried]: the process ended with the request in hand */
+/* ended REQUEST PROCESS AT [tried]: the process crashed while it executed the request */
 static void do_ended(world_t *w, const words_t *a)
 {
 	lw_fingerprint_t p = print_of(a, 1);
 
-	say_known(w, lw_quarantine_ended(w->quarantine, &p, (uint64_t)num(a, 2), has(a, "tried"),
-					 ms(a, 3)));
+	emit_known(w, lw_quarantine_ended(w->quarantine, &p, (uint64_t)num(a, 2), has(a, "tried"),
+					  ms(a, 3)));
 }
 
 /* answered REQUEST AT */
@@ -34,10 +34,13 @@
 {
 	lw_fingerprint_t p = print_of(a, 1);
 
-	say_known(w, lw_quarantine_answered(w->quarantine, &p, ms(a, 2)));
+	emit_known(w, lw_quarantine_answered(w->quarantine, &p, ms(a, 2)));
 }
 
-/* heard-of REQUEST ended AT by PROCESS trials N held UNTIL | REQUEST cleared AT; NOW is the last word */
+/*
+ * heard-of REQUEST ended AT by PROCESS trials N held UNTIL | REQUEST cleared
+ * AT: a report of another node; the last word is the current time.
+ */
 static void do_heard_of(world_t *w, const words_t *a)
 {
 	lw_suspect_t s = { .print = print_of(a, 1) };
@@ -50,7 +53,7 @@
 		s.trials = (uint32_t)num(a, 7);
 		s.held_until_us = ms(a, 9);
 	}
-	say_known(w, lw_quarantine_told(w->quarantine, &s, ms(a, a->n - 1)));
+	emit_known(w, lw_quarantine_told(w->quarantine, &s, ms(a, a->n - 1)));
 }
 
 /* verdict-on REQUEST AT */
@@ -61,12 +64,15 @@
 	lw_quarantine_verdict_t v = lw_quarantine_verdict(w->quarantine, &p, ms(a, 2));
 
 	if (v == LW_QUARANTINE_HELD)
-		say(w, "held for %u ms", lw_quarantine_held_ms(w->quarantine, &p, ms(a, 2)));
+		emit(w, "held for %u ms", lw_quarantine_held_ms(w->quarantine, &p, ms(a, 2)));
 	else
-		say(w, "%s", names[v]);
+		emit(w, "%s", names[v]);
 }
 
-/* ended-many COUNT PROCESS AT: requests of their own in hand; says how many are remembered */
+/*
+ * ended-many COUNT PROCESS AT: each crash with a different request in flight;
+ * prints how many requests are remembered.
+ */
 static void do_ended_many(world_t *w, const words_t *a)
 {
 	lw_fingerprint_t p = { 0 };
@@ -75,7 +81,7 @@
 		p.whole = (uint64_t)i + 1000;
 		lw_quarantine_ended(w->quarantine, &p, (uint64_t)num(a, 2), false, ms(a, 3));
 	}
-	say(w, "%zu matter", lw_quarantine_count(w->quarantine));
+	emit(w, "%zu matter", lw_quarantine_count(w->quarantine));
 }
 
 /* forget AT */
@@ -84,7 +90,10 @@
 	lw_quarantine_expire(w->quarantine, ms(a, 1));
 }
 
-/* trial-host ENDED-ID...: where a request is tried, these servers being gone; from the list in place */
+/*
+ * trial-host ENDED-ID...: the host of the current list on which a request is
+ * tried after these servers crashed.
+ */
 static void do_trial_host(world_t *w, const words_t *a)
 {
 	lw_place_service_t *s = lw_place_service(&w->place, word(a, 1));
@@ -95,10 +104,13 @@
 	for (int i = 2; i < a->n; i++)
 		ended[n++] = lw_place_process(word(a, i), 0);
 	h = lw_place_pick_trial(s, 7, ended, n, 1000000);
-	say(w, "%s", h ? h->id : "none");
+	emit(w, "%s", h ? h->id : "none");
 }
 
-/* same-request BODY BODY: one with a length, one in chunks of three bytes */
+/*
+ * same-request BODY BODY: whether two requests are the same, one with a
+ * length and one in chunks of three bytes.
+ */
 static void do_same_request(world_t *w, const words_t *a)
 {
 	static const lw_str_t head = { "POST /a HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\n", 47 };
@@ -113,7 +125,7 @@
 		lw_fingerprinter_body(&g, (lw_str_t){ chunks + at, strnlen(chunks + at, 3) },
 				      false);
 	lw_fingerprinter_body(&g, (lw_str_t){ NULL, 0 }, true);
-	say(w, "%s", f.value.whole == g.value.whole ? "same" : "another");
+	emit(w, "%s", f.value.whole == g.value.whole ? "same" : "another");
 }
 
 const command_t decide_quarantine_commands[] = {
--- a/tests/decide_retry.c
+++ b/tests/decide_retry.c
@@ -1,4 +1,4 @@
-/* Scripted decisions on repeats, admission, waiting and stopping. */
+/* Script commands for retries, admission, waiting and stopping. */
 #include <stdio.h>
 #include <string.h>
 
@@ -37,16 +37,19 @@
 			at.used_below = (uint32_t)num(a, i + 1);
 	for (long i = 0; i < num(a, 1); i++)
 		got += lw_retrylimit_take(&w->retries, &decide_retry_terms, &at, ms(a, 5));
-	say(w, "%ld", got);
+	emit(w, "%ld", got);
 }
 
-/* retry-used AT: per mille of the share of one of 10 nodes */
+/* retry-used AT: per mille used of the share of one of 10 nodes */
 static void do_retry_used(world_t *w, const words_t *a)
 {
-	say(w, "%u", lw_retrylimit_used(&w->retries, &decide_retry_terms, 10, ms(a, 1)));
+	emit(w, "%u", lw_retrylimit_used(&w->retries, &decide_retry_terms, 10, ms(a, 1)));
 }
 
-/* retry-ranks TIMES BELOW-RANK AT: the last of four levels, one of 10 nodes, ranks of one priority */
+/*
+ * retry-ranks TIMES BELOW-RANK AT: on the last of four levels, at one of 10
+ * nodes, with ranks of one priority.
+ */
 static void do_retry_ranks(world_t *w, const words_t *a)
 {
 	lw_retryposition_t at = { .nodes = 10, .above = 3, .urgent = true };
@@ -61,7 +64,7 @@
 		else
 			high++;
 	}
-	say(w, "below %ld, others %ld", low, high);
+	emit(w, "below %ld, others %ld", low, high);
 }
 
 static lw_fail_t fail_of(const char *name)
@@ -90,18 +93,18 @@
 	};
 
 	if (strcmp(word(a, 1), "silent") == 0)
-		say(w, "%s", names[lw_retry_verdict_silent(&t)]);
+		emit(w, "%s", names[lw_retry_verdict_silent(&t)]);
 	else
-		say(w, "%s", names[lw_retry_verdict(&t, fail_of(word(a, 1)))]);
+		emit(w, "%s", names[lw_retry_verdict(&t, fail_of(word(a, 1)))]);
 }
 
-/* comeback ROOM PRIORITY LEFT: the shortest and the longest wait */
+/* comeback ROOM PRIORITY LEFT: the shortest and the longest retry-after delay */
 static void do_comeback(world_t *w, const words_t *a)
 {
 	uint32_t room = (uint32_t)num(a, 1), prio = (uint32_t)num(a, 2), left = (uint32_t)num(a, 3);
 
-	say(w, "%u to %u ms", lw_retry_after_ms(room, prio, left, 0),
-	    lw_retry_after_ms(room, prio, left, UINT32_MAX));
+	emit(w, "%u to %u ms", lw_retry_after_ms(room, prio, left, 0),
+	     lw_retry_after_ms(room, prio, left, UINT32_MAX));
 }
 
 /* admit RUNNING QUEUED AHEAD LIMIT SERVICE_MS DEADLINE QUEUE_MS */
@@ -115,15 +118,15 @@
 				.rate_wait_ms = (uint32_t)num(a, 8) };
 	lw_ask_t ask = { .deadline_ms = (uint32_t)num(a, 6), .queue_ms = (uint32_t)num(a, 7) };
 
-	say(w, "%s expected_wait=%u may_wait=%u retry_after=%u", lw_fail_name(lw_admit(&st, &ask)),
-	    lw_admit_expected_wait_ms(&st), lw_admit_wait_ms(&st, &ask),
-	    lw_admit_retry_after_ms(&st.load));
+	emit(w, "%s expected_wait=%u may_wait=%u retry_after=%u", lw_fail_name(lw_admit(&st, &ask)),
+	     lw_admit_expected_wait_ms(&st), lw_admit_wait_ms(&st, &ask),
+	     lw_admit_retry_after_ms(&st.load));
 }
 
-/* limit SLOTS: most requests at a backend server at once */
+/* limit SLOTS: concurrency limit of a backend server */
 static void do_limit(world_t *w, const words_t *a)
 {
-	say(w, "%u", lw_admit_limit((uint32_t)num(a, 1)));
+	emit(w, "%u", lw_admit_limit((uint32_t)num(a, 1)));
 }
 
 /* wait NAME PRIORITY EXPIRES | next | expired AT */
@@ -137,7 +140,10 @@
 	lw_waitq_push(&w->queue, &w->waiter[i].w);
 }
 
-/* wait-for NAME PRIORITY EXPIRES TARGET|late: of a user request with that objective */
+/*
+ * wait-for NAME PRIORITY EXPIRES TARGET|late: a call of a user request with
+ * that latency objective.
+ */
 static void do_wait_for(world_t *w, const words_t *a)
 {
 	w->waiter[w->nwaiters].w.late = strcmp(word(a, 4), "late") == 0;
@@ -149,9 +155,9 @@
 {
 	for (size_t i = 0; i < w->nwaiters; i++)
 		if (x == &w->waiter[i].w)
-			say(w, "%s", w->waiter[i].name);
+			emit(w, "%s", w->waiter[i].name);
 	if (!x)
-		say(w, "none");
+		emit(w, "none");
 }
 
 static void do_next(world_t *w, const words_t *a)
@@ -166,9 +172,10 @@
 }
 
 /*
- * stop SINCE GRACE OLDEST [at-work | just-refusing MS]: what a stopping node does
- * then; OLDEST 0: nothing is under way; at-work: its backend server runs requests
- * or may get some; just-refusing: others heard so long ago that nothing is taken
+ * Stop SINCE GRACE OLDEST [at-work | just-refusing MS]: the steps of a
+ * stopping node. OLDEST 0: no request is in flight; at-work: the backend
+ * server executes requests or may get some; just-refusing: time since peers
+ * were told that nothing is accepted.
  */
 static void do_stop(world_t *w, const words_t *a)
 {
@@ -176,17 +183,18 @@
 				 has(a, "just-refusing") ? ms(a, 5) : ms(a, 1), has(a, "at-work") };
 	lw_stopplan_t p = lw_stopplan(&state);
 
-	say(w, "%s%s%s%s%s%s", p.tell_peers ? "tell_peers " : "", p.close_idle ? "close_idle " : "",
-	    p.refuse ? "refuse " : "", p.refuse_callers ? "refuse_callers " : "",
-	    p.close_listeners ? "close_listeners " : "", p.exit ? "exit" : "go_on");
+	emit(w, "%s%s%s%s%s%s", p.tell_peers ? "tell_peers " : "",
+	     p.close_idle ? "close_idle " : "", p.refuse ? "refuse " : "",
+	     p.refuse_callers ? "refuse_callers " : "", p.close_listeners ? "close_listeners " : "",
+	     p.exit ? "exit" : "go_on");
 }
 
-/* stop-takes LEFT WAIT LONGEST DEADLINE: whether a stopping node takes such a request */
+/* stop-takes LEFT WAIT LONGEST DEADLINE: whether a stopping node accepts such a request */
 static void do_stop_takes(world_t *w, const words_t *a)
 {
 	bool taken = lw_stopplan_accepts(ms(a, 1), ms(a, 2), ms(a, 3), ms(a, 4));
 
-	say(w, taken ? "taken" : "refused");
+	emit(w, taken ? "taken" : "refused");
 }
 
 const command_t decide_retry_commands[] = {
--- a/tests/decide_route.c
+++ b/tests/decide_route.c
@@ -1,4 +1,4 @@
-/* Scripted decisions on routes, heads, levels and paths. */
+/* Script commands for routes, message heads, admission levels and call paths. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -31,10 +31,10 @@
 	const lw_fleet_route_t *r =
 		lw_fleetconf_match(w->conf, lw_str_c(word(a, 1)), lw_str_c(word(a, 2)));
 
-	say(w, "%s", r ? r->name : "none");
+	emit(w, "%s", r ? r->name : "none");
 }
 
-/* split HOST PATH COUNT: which share of COUNT requests each part gets */
+/* split HOST PATH COUNT: the share of COUNT requests that each destination gets */
 static void do_split(world_t *w, const words_t *a)
 {
 	lw_fleet_route_t *r =
@@ -48,10 +48,10 @@
 			got[k] += strcmp(r->splits[k].service, s) == 0;
 	}
 	for (size_t k = 0; k < r->nsplits; k++)
-		say(w, "%s %d", r->splits[k].service, got[k]);
+		emit(w, "%s %d", r->splits[k].service, got[k]);
 }
 
-/* \r, \n, \t and \0 in scripts */
+/* decode \r, \n, \t and \0 in scripts */
 static lw_str_t unescape(char *s)
 {
 	char *to = s;
@@ -67,7 +67,7 @@
 	return (lw_str_t){ s, (size_t)(to - s) };
 }
 
-/* head request|response TEXT: the whole rest of the line */
+/* head request|response TEXT: TEXT is the rest of the line */
 void decide_head(world_t *w, bool request, char *text)
 {
 	static const char *const results[] = { "ok", "malformed", "too_large" };
@@ -79,17 +79,17 @@
 	http_parser_init(&parser, request ? HTTP_REQUEST : HTTP_RESPONSE);
 	err = lw_httphead_parse(&h, &parser, &lw_platform_names, unescape(text));
 	if (err) {
-		say(w, "%s", results[err]);
+		emit(w, "%s", results[err]);
 		return;
 	}
-	say(w, "ok status=%u body=%lld keep=%d host=%.*s target=%.*s", h.status,
-	    (long long)h.body_length, h.keep_alive, (int)h.host.len, h.host.ptr ? h.host.ptr : "",
-	    (int)h.target.len, h.target.ptr ? h.target.ptr : "");
+	emit(w, "ok status=%u body=%lld keep=%d host=%.*s target=%.*s", h.status,
+	     (long long)h.body_length, h.keep_alive, (int)h.host.len, h.host.ptr ? h.host.ptr : "",
+	     (int)h.target.len, h.target.ptr ? h.target.ptr : "");
 	lw_httphead_forward(&h, false, &out);
 	for (const char *at = lw_bytebuf_head(&out), *end = at + lw_bytebuf_len(&out); at < end;) {
 		const char *nl = memchr(at, '\r', (size_t)(end - at));
 
-		say(w, "| %.*s", (int)(nl - at), at);
+		emit(w, "| %.*s", (int)(nl - at), at);
 		at = nl + 2;
 	}
 	lw_bytebuf_free(&out);
@@ -105,10 +105,10 @@
 		for (long k = 0; k < num(a, i); k++)
 			lw_level_arrival(&w->level, (uint32_t)num(a, i + 1));
 	lw_level_step(&w->level, &in);
-	say(w, "level %u", w->level.level);
+	emit(w, "level %u", w->level.level);
 }
 
-/* level-load LIMIT SERVICE_MS ARRIVALS PRIORITY STEPS: arrivals spread over a priority */
+/* level-load LIMIT SERVICE_MS ARRIVALS PRIORITY STEPS: arrivals distributed over a priority */
 static void do_level_load(world_t *w, const words_t *a)
 {
 	uint32_t limit = (uint32_t)num(a, 1);
@@ -135,7 +135,7 @@
 		in.queued = (uint32_t)queue;
 		lw_level_step(&w->level, &in);
 	}
-	say(w, "level %u queue_ms %.0f", w->level.level, queue * service_us / limit / 1000);
+	emit(w, "level %u queue_ms %.0f", w->level.level, queue * service_us / limit / 1000);
 }
 
 /* hot-told ROUTE AT DEPTH [SERVICE LEVEL]... | hot-admits ROUTE RANK AT | hot-depth ROUTE */
@@ -147,7 +147,10 @@
 	lw_path_levels_add(hots, &hot);
 }
 
-/* hot-worked ROUTE PRIORITY AT SERVICE LEVEL MS: a request was served and ran there so long */
+/*
+ * hot-worked ROUTE PRIORITY AT SERVICE LEVEL MS: a request was answered and
+ * executed there for this time.
+ */
 static void do_hot_worked(world_t *w, const words_t *a)
 {
 	lw_path_levels_t hots = { .n = 0 };
@@ -160,10 +163,13 @@
 /* hot-weighed ROUTE RANK AT */
 static void do_hot_weighed(world_t *w, const words_t *a)
 {
-	say(w, "%u", lw_overload_weighted_rank(w->hot, word(a, 1), (uint32_t)num(a, 2), ms(a, 3)));
+	emit(w, "%u", lw_overload_weighted_rank(w->hot, word(a, 1), (uint32_t)num(a, 2), ms(a, 3)));
 }
 
-/* hot-heard SERVICE LEVEL AGE AT: another node tells | hot-tell AT: what others are told */
+/*
+ * hot-heard SERVICE LEVEL AGE AT: a report of another node | hot-tell AT:
+ * what is reported to other nodes.
+ */
 static void do_hot_heard(world_t *w, const words_t *a)
 {
 	lw_level_report_t heard = { .level = (uint32_t)num(a, 2), .age_ms = (uint32_t)num(a, 3) };
@@ -178,9 +184,9 @@
 	uint32_t n = lw_overload_report(w->hot, ms(a, 1), out, 4);
 
 	for (uint32_t i = 0; i < n; i++)
-		say(w, "%s %u age %u", out[i].service, out[i].level, out[i].age_ms);
+		emit(w, "%s %u age %u", out[i].service, out[i].level, out[i].age_ms);
 	if (!n)
-		say(w, "none");
+		emit(w, "none");
 }
 
 static void do_hot_told(world_t *w, const words_t *a)
@@ -197,20 +203,20 @@
 	lw_service_level_t by;
 
 	if (lw_overload_admits(w->hot, word(a, 1), (uint32_t)num(a, 2), ms(a, 3), &by))
-		say(w, "admitted");
+		emit(w, "admitted");
 	else
-		say(w, "refused by %s at %u", by.service, by.level);
+		emit(w, "refused by %s at %u", by.service, by.level);
 }
 
 static void do_hot_depth(world_t *w, const words_t *a)
 {
-	say(w, "%u", lw_overload_call_depth(w->hot, word(a, 1)));
+	emit(w, "%u", lw_overload_call_depth(w->hot, word(a, 1)));
 }
 
 /* rank PRIORITY ID */
 static void do_rank(world_t *w, const words_t *a)
 {
-	say(w, "%u", lw_rank((uint32_t)num(a, 1), lw_str_c(word(a, 2))));
+	emit(w, "%u", lw_rank((uint32_t)num(a, 1), lw_str_c(word(a, 2))));
 }
 
 const command_t decide_route_commands[] = {
--- a/tests/decide_spread.c
+++ b/tests/decide_spread.c
@@ -1,4 +1,4 @@
-/* Scripted decisions on who reads the store and how news spreads. */
+/* Script commands for the choice of store readers and the dissemination of store updates. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,7 +7,7 @@
 #include "fanout.h"
 #include "xalloc.h"
 
-/* the list of servers that a script names as ZONE/ADDR */
+/* the list of servers given in a script as ZONE/ADDR */
 static lw_serverlist_t listed(const words_t *a)
 {
 	lw_serverlist_t sl = { .servers = xcalloc(WORDS_MAX, sizeof(lw_server_entry_t)) };
@@ -27,7 +27,10 @@
 	return sl;
 }
 
-/* readers ZONE/ADDR... [draining]: which of the nodes beside these servers read; the first one drains */
+/*
+ * Readers ZONE/ADDR... [draining]: which of the nodes of these servers read
+ * the store; with draining, the first one drains.
+ */
 static void do_readers(world_t *w, const words_t *a)
 {
 	lw_serverlist_t sl = listed(a);
@@ -36,13 +39,13 @@
 	for (size_t i = 0; i < sl.nservers; i++) {
 		lw_fanout_plan(&sl, sl.servers[i].addr, sl.servers[i].zone, &s);
 		if (lw_fanout_is_reader_or_substitute(&s))
-			say(w, "%u %s after %u ms", s.rank, sl.servers[i].addr,
-			    lw_fanout_is_reader(&s) ? 0 : s.read_after_ms);
+			emit(w, "%u %s after %u ms", s.rank, sl.servers[i].addr,
+			     lw_fanout_is_reader(&s) ? 0 : s.read_after_ms);
 	}
 	free(sl.servers);
 }
 
-/* reader-unlisted ZONE/ADDR: the part of a node whose backend server is in no list */
+/* reader-unlisted ZONE/ADDR: the role of a node whose backend server is not in the list */
 static void do_reader_unlisted(world_t *w, const words_t *a)
 {
 	lw_serverlist_t sl = listed(a);
@@ -50,21 +53,24 @@
 	lw_fanout_t s;
 
 	lw_fanout_plan(&empty, sl.servers[0].addr, sl.servers[0].zone, &s);
-	say(w, "rank %s after %u ms", s.rank == LW_FANOUT_NO_RANK ? "none" : "given",
-	    s.read_after_ms);
+	emit(w, "rank %s after %u ms", s.rank == LW_FANOUT_NO_RANK ? "none" : "given",
+	     s.read_after_ms);
 	free(sl.servers);
 }
 
-/* A fleet in which news begins at the readers and is passed on by whoever does not stand still. */
+/*
+ * A fleet in which updates start at the readers and are forwarded by all
+ * nodes that are not frozen.
+ */
 typedef struct fleet {
 	size_t zones;
 	size_t n;
-	size_t every; /* each so many-th node stands still; 0: none */
+	size_t every; /* every n-th node is frozen; 0: none */
 	lw_serverlist_t list;
 	lw_fanout_t *plan;
-	uint32_t *heard; /* hops it took, plus one; 0: not heard */
+	uint32_t *reached; /* number of hops to the node, plus one; 0: not reached */
 	uint32_t hops;
-	uint32_t between; /* times that news goes from zone to zone */
+	uint32_t between; /* number of times that updates were sent from zone to zone */
 } fleet_t;
 
 static void fleet_begin(fleet_t *f)
@@ -72,7 +78,7 @@
 	f->list.servers = xcalloc(f->n, sizeof(lw_server_entry_t));
 	f->list.nservers = f->n;
 	f->plan = xcalloc(f->n, sizeof(*f->plan));
-	f->heard = xcalloc(f->n, sizeof(*f->heard));
+	f->reached = xcalloc(f->n, sizeof(*f->reached));
 	for (size_t i = 0; i < f->n; i++) {
 		lw_server_entry_t *e = &f->list.servers[i];
 
@@ -83,18 +89,18 @@
 		const lw_server_entry_t *e = &f->list.servers[i];
 
 		lw_fanout_plan(&f->list, e->addr, e->zone, &f->plan[i]);
-		f->heard[i] = lw_fanout_is_reader(&f->plan[i]);
+		f->reached[i] = lw_fanout_is_reader(&f->plan[i]);
 	}
 }
 
 static void fleet_end(fleet_t *f)
 {
-	free(f->heard);
+	free(f->reached);
 	free(f->plan);
 	free(f->list.servers);
 }
 
-static bool stands_still(const fleet_t *f, size_t i)
+static bool is_frozen(const fleet_t *f, size_t i)
 {
 	return f->every && i % f->every == 0;
 }
@@ -108,22 +114,22 @@
 	return i;
 }
 
-/* node @i tells its children what it heard at hop @at; true if one did not know it */
-static bool tell(fleet_t *f, size_t i, uint32_t at)
+/* node @i forwards what it got at hop @at to its children; true if that reached a new node */
+static bool forward(fleet_t *f, size_t i, uint32_t at)
 {
-	bool news = false;
+	bool any_new = false;
 
 	for (size_t c = 0; c < f->plan[i].nchildren; c++) {
 		size_t to = by_address(f, f->plan[i].child[c]);
 
 		f->between += to % f->zones != i % f->zones;
-		if (f->heard[to])
+		if (f->reached[to])
 			continue;
-		f->heard[to] = at + 1;
+		f->reached[to] = at + 1;
 		f->hops = at;
-		news = true;
+		any_new = true;
 	}
-	return news;
+	return any_new;
 }
 
 static void spread(fleet_t *f)
@@ -133,16 +139,19 @@
 	for (uint32_t at = 1; more; at++) {
 		more = false;
 		for (size_t i = 0; i < f->n; i++)
-			if (f->heard[i] == at && (at == 1 || !stands_still(f, i)))
-				more |= tell(f, i, at);
+			if (f->reached[i] == at && (at == 1 || !is_frozen(f, i)))
+				more |= forward(f, i, at);
 	}
 }
 
-/* spread ZONES NODES [EVERY]: how news reaches NODES nodes in each of ZONES zones; each EVERY-th stands still */
+/*
+ * Spread ZONES NODES [EVERY]: dissemination to NODES nodes in each of ZONES
+ * zones; each EVERY-th node is frozen.
+ */
 static void do_spread(world_t *w, const words_t *a)
 {
 	fleet_t f = { .zones = (size_t)num(a, 1), .every = (size_t)num(a, 3) };
-	uint32_t most = 0, heard = 0, alive = 0;
+	uint32_t most = 0, reached = 0, alive = 0;
 
 	f.n = f.zones * (size_t)num(a, 2);
 	fleet_begin(&f);
@@ -150,11 +159,11 @@
 	for (size_t i = 0; i < f.n; i++) {
 		if (f.plan[i].nchildren > most)
 			most = (uint32_t)f.plan[i].nchildren;
-		alive += !stands_still(&f, i);
-		heard += f.heard[i] && !stands_still(&f, i);
+		alive += !is_frozen(&f, i);
+		reached += f.reached[i] && !is_frozen(&f, i);
 	}
-	say(w, "%u of %u hear, %u hops, %u children at most, %u times between zones", heard, alive,
-	    f.hops, most, f.between);
+	emit(w, "%u of %u hear, %u hops, %u children at most, %u times between zones", reached,
+	     alive, f.hops, most, f.between);
 	fleet_end(&f);
 }
 
--- a/tests/script.c
+++ b/tests/script.c
@@ -1,16 +1,17 @@
 /*
- * Scripted runs: events in, expected effects out. A script is a text file:
+ * Scripted tests of the reducers: events and the effects expected of them. A
+ * script is a text file:
  *   policy guard|naive zone=Z slots=N     start a reducer
- *   config FILE                           feed a configuration document
+ *   config FILE                           pass a configuration document
  *   at MS                                 set the clock
- *   event KIND key=value ...              feed one event
+ *   event KIND key=value ...              pass one event
  *   fill KIND from=A to=B ...            the same event for each id A..B
- *   expect EFFECT key=value ...           the next effect must read so
+ *   expect EFFECT key=value ...           the next effect must be this one
  *   expect none                           the event caused no (more) effects
  * Effects are printed as "admit id=1", "answer id=2 outcome=not_run
  * reason=overloaded", "send id=3 peer=0 attempt=1 budget=2", ...; an expected
- * line may leave out fields at the end. LOG and ARM effects are left
- * out. Lines starting with # are comments.
+ * line may omit fields at the end. LOG and ARM effects are omitted. Lines
+ * starting with # are comments.
  */
 #include <dirent.h>
 #include <stdio.h>
@@ -120,12 +121,12 @@
 		if (strstr(line, pat)) {
 			ev->outcome = outcomes[i].o;
 			ev->reason = outcomes[i].r;
-			/* a refused connection or a lost reply: the peer itself said nothing */
+			/* a refused connection or a lost reply: the peer did not answer */
 			ev->reached = ev->reason != LW_R_NO_BACKEND && ev->reason != LW_R_TIMEOUT;
 		}
 	}
 	if ((ev->kind == LW_EV_IN_DONE || ev->kind == LW_EV_IN_RECORD) && ev->outcome == LW_DONE) {
-		ev->answer = (void *)(uintptr_t)(ev->id + 1000); /* a stand-in handle */
+		ev->answer = (void *)(uintptr_t)(ev->id + 1000); /* a placeholder handle */
 		ev->answer_bytes = (size_t)kv(line, "bytes", 100);
 	}
 }
@@ -143,7 +144,7 @@
 	return buf;
 }
 
-/* @got, or the start of it up to a field's end, reads as @want */
+/* whether @got, or its beginning up to the end of a field, equals @want */
 static bool matches(const char *got, const char *want)
 {
 	size_t n = strlen(want);
@@ -152,8 +153,8 @@
 }
 
 /*
- * script_run() - run the script at @path; 0 when every expectation held,
- * else -1 with the first mismatch written to @why.
+ * script_run() - run the script at @path; 0 if all expectations are met, else
+ * -1 with the first mismatch written to @why.
  */
 int script_run(const char *path, char *why, size_t whylen)
 {
@@ -215,7 +216,7 @@
 			fx.n = next = 0;
 			p->ops->step(p, &ev, &fx);
 		} else if (strncmp(line, "fill ", 5) == 0 && p) {
-			/* fill KIND from=A to=B ...: the same event with each id in turn */
+			/* fill KIND from=A to=B ...: the same event with each id from A to B */
 			for (long id = kv(line, "from", 0); id <= kv(line, "to", -1); id++) {
 				lw_event_t ev;
 
--- a/tests/test_main.c
+++ b/tests/test_main.c
@@ -1,4 +1,4 @@
-/* The CUnit test program: unit suites, then the scripted runs of a folder. */
+/* The CUnit test program: unit suites, then the scripted tests of a directory. */
 #include <CUnit/Basic.h>
 #include <stdio.h>
 
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -16,7 +16,7 @@
 	lw_limiter_init(&l, 10);
 	for (int i = 0; i < 5; i++)
 		lw_limiter_sample(&l, 2, false, now += 2);
-	CU_ASSERT_DOUBLE_EQUAL(l.limit, 10, 0.001); /* never above the slots */
+	CU_ASSERT_DOUBLE_EQUAL(l.limit, 10, 0.001); /* the limit never exceeds the slots */
 	for (int i = 0; i < 20; i++)
 		lw_limiter_sample(&l, 100, false, now += 100);
 	CU_ASSERT(l.limit < 5);
@@ -27,13 +27,13 @@
 }
 
 /*
- * Symptom (measured, bench surge at 900/s): the guard shed five times the
- *   lookups the naive baseline lost, and did not recover in the run.
- * Sequence: the limit grew past the backend's slots; a burst of requests
- *   was refused by the backend within a few milliseconds.
- * Cause: every refusal cut the limit by 10%, so one burst took it to the
- *   floor. As TCP (RFC 5681), it is now cut at most once per latency
- *   window, and never grows past the backend's slots.
+ * Guards against a limit that collapses in a burst. The backend refused a
+ * burst of requests within a few milliseconds after the limit had grown past
+ * its slots; every refusal reduced the limit by 10%, so one burst took it to
+ * the minimum. In the bench surge at 900/s the guard shed five times the
+ * lookups that the naive baseline lost, and did not recover. As in TCP (RFC
+ * 5681), the limit is reduced at most once per latency window, and it never
+ * exceeds the backend's slots.
  */
 static void limiter_cuts_once_per_window(void)
 {
@@ -48,12 +48,11 @@
 }
 
 /*
- * Symptom (measured, bench surge run): the guard's limit fell to a
- *   quarter of the slots while the backend was healthy.
- * Sequence: service times vary widely (exponential around 20 ms).
- * Cause: each sample was compared with the lowest latency ever seen, so
- *   nearly every sample looked like congestion. The limiter now compares
- *   a short-run average with a long-run one.
+ * Guards against mistaking variance for congestion. Service times vary widely
+ * (exponential around 20 ms). When each sample was compared with the lowest
+ * latency seen, nearly every sample looked like congestion, and the limit
+ * fell to a quarter of the slots of a healthy backend. The limiter compares a
+ * short-run average with a long-run one.
  */
 static void limiter_holds_under_variable_latency(void)
 {
@@ -68,12 +67,12 @@
 }
 
 /*
- * Symptom (measured, bench surge with payments slowed from 17 to 77 ms): the
- *   guard serves fewer payments than the naive baseline (2247 against 2388).
- * Sequence: a server becomes slower, whatever number of requests it runs.
- * Cause: the limit was cut as soon as latency doubled, to a quarter of the
- *   slots, so the slower server also ran fewer requests at a time. Latency
- *   now cuts only when it grows fivefold.
+ * Guards against a lower limit for a server that only became slower (17 to 77
+ * ms, whatever number of requests it executes). When the limit was reduced as
+ * soon as latency doubled, to a quarter of the slots, the slower server also
+ * executed fewer requests at a time, and the guard served fewer payments than
+ * the naive baseline (2247 against 2388). Latency reduces the limit only when
+ * it grows fivefold.
  */
 static void limiter_keeps_slots_of_a_slower_server(void)
 {
@@ -90,9 +89,9 @@
 }
 
 /*
- * A model backend under processor sharing: with n requests in flight on S
- * slots each advances at S/max(S,n) per ms, so admitting too much makes
- * everything late. The same arrivals go through both reducers.
+ * Model of a backend with processor sharing: with n requests in flight on S
+ * slots each advances at S/max(S,n) per ms, so admitting too many makes all
+ * of them late. The same arrivals go through both reducers.
  */
 typedef struct run {
 	uint64_t id;
@@ -123,7 +122,10 @@
 
 	memset(res, 0, sizeof(*res));
 	for (uint64_t now = 0; now < MODEL_MS; now++) {
-		/* capacity is 0.8 requests/ms; offer 2.4/ms: 3x, three quarters sheddable */
+		/*
+		 * The capacity is 0.8 requests/ms and 2.4/ms are offered,
+		 * three quarters of them sheddable.
+		 */
 		for (int k = 0; k < 3; k++) {
 			if (erand48(rng) >= 0.8)
 				continue;
@@ -188,11 +190,11 @@
 }
 
 /*
- * Symptom: under a 3x surge of browsing the registrations fail too.
- * Sequence: sheddable and critical requests arrive at three times what
- *   the backend can serve; the backend slows as it takes on more.
- * Cause (naive): admitting everything makes every request late. The
- *   guard keeps in-flight work near the slots and sheds sheddable first.
+ * Guards against failing registrations under a 3x surge of browsing:
+ * sheddable and critical requests arrive at three times the capacity of the
+ * backend, which slows down as it accepts more. Admitting everything (naive)
+ * makes every request late. The guard keeps the requests in flight near the
+ * slots and sheds sheddable ones first.
  */
 static void differential_surge_goodput(void)
 {
@@ -211,12 +213,11 @@
 }
 
 /*
- * Symptom (measured, bench surge at 900/s): lookups not_run by the
- *   thousand and no recovery; node logs end in "effect list overflow".
- * Sequence: a surge fills the admission queue; all entries pass the queue
- *   bound between two ticks, so one tick answers them all.
- * Cause: the effect list held 32 entries and a full one aborted the node.
- *   The list now grows.
+ * Guards against a limit of the effect list. A surge fills the admission
+ * queue, all entries exceed the queue bound between two ticks, and one tick
+ * answers them all. A list of 32 entries overflowed and aborted the node
+ * ("effect list overflow" in its log; thousands of lookups not_run in the
+ * bench surge at 900/s, and no recovery). The list grows as needed.
  */
 static void tick_expires_a_full_queue(void)
 {
