--- a/src/fanout.h
+++ b/src/fanout.h
@@ -44,9 +44,9 @@
 #define LW_FANOUT_ASK_MS 850
 /* number of nodes that are asked */
 #define LW_FANOUT_ASK_NODES 3
-/* time by which other nodes wait longer than the substitutes before they read the store, ms */
+/* nodes other than the substitutes wait this much longer before they read the store, ms */
 #define LW_FANOUT_SUBSTITUTES_MS 200
-/* and the time over which their reads are distributed, ms */
+/* and distribute their reads over this time, ms */
 #define LW_FANOUT_STAGGER_MS 300
 /* rank of a node that is neither reader nor substitute */
 #define LW_FANOUT_NO_RANK UINT32_MAX
--- a/src/place.c
+++ b/src/place.c
@@ -27,8 +27,8 @@
 /*
  * One choice in this many considers the utilisation only, so that a server
  * that was slow is tried again, and one that has joined gets work from other
- * hosts before it is needed. Otherwise half of the servers that join under
- * moderate load get no requests.
+ * hosts before it is needed. Otherwise half of the servers that join at low
+ * load get no requests.
  */
 #define EXPLORE_ONE_IN 32
 /* costs are randomised by up to this share, so that nodes do not all choose the same host */
--- a/src/place.h
+++ b/src/place.h
@@ -65,8 +65,7 @@
 #define LW_PLACE_TRIED_MAX 8
 typedef struct lw_place_tried {
 	const lw_place_host_t *host[LW_PLACE_TRIED_MAX];
-	bool rejected
-		[LW_PLACE_TRIED_MAX]; /* the host rejected the request unexecuted when it was last sent there */
+	bool rejected[LW_PLACE_TRIED_MAX]; /* returned unexecuted when it was last sent there */
 	size_t n;
 } lw_place_tried_t;
 
--- a/src/policy.h
+++ b/src/policy.h
@@ -141,8 +141,7 @@
 	uint64_t dedup_hits;
 	uint64_t late_replies;
 	uint64_t lookups;
-	uint64_t
-		refused_for_good; /* queries without a record; the attempt is refused from then on */
+	uint64_t refused_for_good; /* queries without a record: the attempt is barred */
 } lw_policy_stats_t;
 
 typedef struct lw_policy_info {
--- a/src/retrylimit.c
+++ b/src/retrylimit.c
@@ -40,7 +40,7 @@
  * distribution over all requests 84.7% (mean of three seeds).
  */
 #define ANY_RANK_PART 0.10
-/* the part of the share of a slice that is given out by rank */
+/* the part of a slice's share that the lowest ranks together may use */
 #define SLICE_TARGET_PART 0.95
 /* weight of a new slice in the moving averages of the retries asked for */
 #define WANTED_EWMA 0.5
--- a/src/retryrule.c
+++ b/src/retryrule.c
@@ -87,7 +87,7 @@
 
 /*
  * lw_retry_verdict_silent() - what follows when an attempt stays silent.
- * LW_VERDICT_FAIL means that only waiting for it is left.
+ * LW_VERDICT_FAIL: the caller can only wait for that attempt.
  */
 lw_verdict_t lw_retry_verdict_silent(const lw_attempts_t *a)
 {
--- a/src/stopplan.h
+++ b/src/stopplan.h
@@ -1,8 +1,9 @@
 /*
- * The steps of a stopping node from SIGTERM to its exit. They prevent that
- * clients are not told in time, that the exit interrupts requests, and that a
- * rolling restart costs more capacity than necessary because each stopping
- * node leaves its backend server idle. No I/O; the caller passes the time.
+ * The steps of a stopping node from SIGTERM to its exit. They make sure that
+ * clients are told in time, that the exit interrupts no request that could
+ * have finished, and that a rolling restart costs no more capacity than
+ * necessary: a stopping node should not leave its backend server idle. No I/O;
+ * the caller passes the time.
  */
 #ifndef LW_STOPPLAN_H
 #define LW_STOPPLAN_H
--- a/tests/decide_lease.c
+++ b/tests/decide_lease.c
@@ -13,7 +13,7 @@
 }
 
 /*
- * Step NOW read AT failed AT healthy AT [leaving] [pending]: what the node of
+ * step NOW read AT failed AT healthy AT [leaving] [pending]: what the node of
  * the server has observed.
  */
 static void do_step(world_t *w, const words_t *a)
--- a/tests/decide_retry.c
+++ b/tests/decide_retry.c
@@ -172,7 +172,7 @@
 }
 
 /*
- * Stop SINCE GRACE OLDEST [at-work | just-refusing MS]: the steps of a
+ * stop SINCE GRACE OLDEST [at-work | just-refusing MS]: the steps of a
  * stopping node. OLDEST 0: no request is in flight; at-work: the backend
  * server executes requests or may get some; just-refusing: time since peers
  * were told that nothing is accepted.
--- a/tests/decide_spread.c
+++ b/tests/decide_spread.c
@@ -28,7 +28,7 @@
 }
 
 /*
- * Readers ZONE/ADDR... [draining]: which of the nodes of these servers read
+ * readers ZONE/ADDR... [draining]: which of the nodes of these servers read
  * the store; with draining, the first one drains.
  */
 static void do_readers(world_t *w, const words_t *a)
@@ -145,7 +145,7 @@
 }
 
 /*
- * Spread ZONES NODES [EVERY]: dissemination to NODES nodes in each of ZONES
+ * spread ZONES NODES [EVERY]: dissemination to NODES nodes in each of ZONES
  * zones; each EVERY-th node is frozen.
  */
 static void do_spread(world_t *w, const words_t *a)
