--- a/src/credential.c
+++ b/src/credential.c
@@ -31,9 +31,9 @@
 		if (h->fields[i].meaning != LW_HEADER_CREDENTIAL)
 			continue;
 		if (found != LW_CREDENTIAL_NONE)
-			return LW_CREDENTIAL_TWICE;
+			return LW_CREDENTIAL_DUPLICATE;
 		found = read_value(h->fields[i].value, scheme, key) ? LW_CREDENTIAL_KEY :
-								      LW_CREDENTIAL_OTHER;
+								      LW_CREDENTIAL_UNSUPPORTED;
 	}
 	return found;
 }
--- a/src/credential.h
+++ b/src/credential.h
@@ -10,8 +10,8 @@
 typedef enum lw_credential {
 	LW_CREDENTIAL_NONE, /* the request carries none */
 	LW_CREDENTIAL_KEY,
-	LW_CREDENTIAL_OTHER, /* of another scheme, or without a key */
-	LW_CREDENTIAL_TWICE, /* two that may differ: other servers could take either */
+	LW_CREDENTIAL_UNSUPPORTED, /* of another scheme, or without a key */
+	LW_CREDENTIAL_DUPLICATE, /* two that may differ: other servers could take either */
 } lw_credential_t;
 
 lw_credential_t lw_credential_read(const lw_httphead_t *h, const char *scheme, lw_str_t *key);
--- a/src/exchadmit.c
+++ b/src/exchadmit.c
@@ -128,7 +128,7 @@
 	if (!e->conf->orgs || r->open)
 		return LW_IDENTITY_KNOWN;
 	switch (lw_credential_read(h, e->hub->names->credential_scheme, &key)) {
-	case LW_CREDENTIAL_TWICE:
+	case LW_CREDENTIAL_DUPLICATE:
 		return LW_IDENTITY_AMBIGUOUS;
 	case LW_CREDENTIAL_KEY:
 		*org = lw_orgs_by_key(e->conf->orgs, key);
@@ -210,16 +210,16 @@
 static bool limit_admits(lw_exchange_t *x, const lw_organisation_t *org)
 {
 	lw_engine_t *e = x->engine;
-	lw_quota_verdict_t v;
+	lw_quota_decision_t v;
 
-	lw_quota_take(e->quota, org, e->hub->now_us, &v);
+	lw_quota_admit(e->quota, org, e->hub->now_us, &v);
 	x->counted = v.admitted;
 	if (v.admitted)
 		return true;
 	lw_log(LW_LOG_over_limit,
 	       "id=%s route=%s org=%s rate=%.0f admit_permille=%u alone=%d news_ms=%u",
-	       x->request_id, x->route, x->org, org->rate_per_s, v.admit_permille, v.alone,
-	       v.news_ms);
+	       x->request_id, x->route, x->org, org->rate_per_s, v.admit_permille, v.standalone,
+	       v.grant_age_ms);
 	x->room_ms = v.room_ms;
 	lw_exchange_refuse(x, LW_FAIL_OVER_LIMIT);
 	return false;
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -231,7 +231,7 @@
 	if (x->dead)
 		return;
 	x->awaits_body = !x->print.known &&
-			 lw_quarantine_awaits_body(x->engine->quarantine, x->print.value.head);
+			 lw_quarantine_needs_body(x->engine->quarantine, x->print.value.head);
 	if (!x->awaits_body)
 		lw_exchange_attempt(x, LW_FAIL_NO_SERVER);
 }
--- a/src/exchdetain.c
+++ b/src/exchdetain.c
@@ -30,7 +30,7 @@
 	lw_place_host_t *host = NULL;
 
 	if (!x->tried.n && !x->attempts.given)
-		host = lw_place_pick_trial(x->service, s->print.whole, s->end, s->nends,
+		host = lw_place_pick_trial(x->service, s->print.whole, s->end, s->ncrashes,
 					   x->engine->hub->now_us);
 	if (host)
 		lw_exchange_attempt_at(x, host, last);
--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -130,9 +130,9 @@
  */
 static void heed_notice(const lw_exchange_t *x, const lw_answer_t *a)
 {
-	lw_notice_said_t said = { 0 };
+	lw_notice_fields_t said = { 0 };
 
-	lw_notice_in_head(&said, a->head, x->engine->hub->names);
+	lw_notice_parse_head(&said, a->head, x->engine->hub->names);
 	if (said.leaving && x->host && lw_place_leaves(x->host))
 		lw_log(LW_LOG_server_leaving, "server=%s by=passed_on", x->host->id);
 }
--- a/src/gate.c
+++ b/src/gate.c
@@ -322,7 +322,7 @@
 	g->told_busy = 0;
 	g->since_told = 0;
 	/* what others told before the first list is of this process, unless they named another */
-	if (g->server_id[0] || !lw_notice_is_of(&g->notice, server->id, server->born_ms))
+	if (g->server_id[0] || !lw_notice_matches(&g->notice, server->id, server->born_ms))
 		lw_gate_forget_notice(g);
 }
 
@@ -342,7 +342,7 @@
 		forget_server(g, server);
 	lw_str_copy(g->server_id, sizeof(g->server_id), lw_str_c(server->id));
 	g->server_born_ms = server->born_ms;
-	g->notice.server = lw_notice_server(server->id);
+	g->notice.server = lw_notice_server_digest(server->id);
 	g->notice.born_ms = server->born_ms;
 	/* told to nodes that start anew, too, whatever the store still has then */
 	g->notice.leaving |= server->draining;
--- a/src/gate.h
+++ b/src/gate.h
@@ -104,7 +104,7 @@
 void lw_gate_set_server(lw_gate_t *g, const lw_place_host_t *server);
 void lw_gate_set_leaving(lw_gate_t *g, bool leaving);
 bool lw_gate_leaving(const lw_gate_t *g);
-void lw_gate_heard(lw_gate_t *g, const lw_notice_said_t *said, uint64_t sent_us);
+void lw_gate_heard(lw_gate_t *g, const lw_notice_fields_t *said, uint64_t sent_us);
 lw_call_t *lw_gate_submit(lw_gate_t *g, lw_sink_t *sink, const lw_ask_t *ask, lw_str_t body,
 			  bool fin, lw_fail_t *why, uint32_t *retry_after_ms);
 uint64_t lw_gate_oldest_us(const lw_gate_t *g);
--- a/src/gatejob.c
+++ b/src/gatejob.c
@@ -141,7 +141,7 @@
 /* what the backend server announces with the answer; one that is not the target says nothing of it */
 static void heed_notice(const lw_job_t *j, const lw_httphead_t *h)
 {
-	lw_notice_said_t said = lw_httphead_notice(h);
+	lw_notice_fields_t said = lw_httphead_notice(h);
 
 	if (h->status != 421 && strcmp(j->target, j->gate->server_id) == 0)
 		lw_gate_heard(j->gate, &said, j->started_us);
--- a/src/gatenotice.c
+++ b/src/gatenotice.c
@@ -17,10 +17,10 @@
 /* lw_gate_take_word() - what the sender of a request knows of the backend server; counts before that was heard here. */
 void lw_gate_take_word(lw_gate_t *g, const lw_notice_t *told)
 {
-	if (!told->limited || g->named.heard_us ||
-	    (g->server_id[0] && !lw_notice_is_of(told, g->server_id, g->server_born_ms)))
+	if (!told->limited || g->named.updated_us ||
+	    (g->server_id[0] && !lw_notice_matches(told, g->server_id, g->server_born_ms)))
 		return;
-	if (lw_notice_limit_told(&g->named, told->limit_per_s))
+	if (lw_notice_limit_from_peer(&g->named, told->limit_per_s))
 		set_pace(g, told->server);
 }
 
@@ -46,10 +46,10 @@
  * answer to a request sent at @sent_us. That it leaves holds for good: an answer
  * without it is an older one.
  */
-void lw_gate_heard(lw_gate_t *g, const lw_notice_said_t *said, uint64_t sent_us)
+void lw_gate_heard(lw_gate_t *g, const lw_notice_fields_t *said, uint64_t sent_us)
 {
 	g->stats.invalid_limits += said->limit_invalid;
-	if (lw_notice_limit_hear(&g->named, said, sent_us, g->hub->now_us))
+	if (lw_notice_limit_from_response(&g->named, said, sent_us, g->hub->now_us))
 		set_pace(g, g->notice.server);
 	if (said->leaving && !g->notice.leaving)
 		heard_leaving(g);
--- a/src/guard.c
+++ b/src/guard.c
@@ -49,8 +49,8 @@
 	if (!p)
 		return;
 	was_draining = p->draining;
-	lw_peer_heard(p, ev->incarnation, ev->draining, ev->now_ms);
-	lw_peer_loaded(p, ev->load_permille, ev->now_ms);
+	lw_peer_update_status(p, ev->incarnation, ev->draining, ev->now_ms);
+	lw_peer_update_load(p, ev->load_permille, ev->now_ms);
 	if (p->draining && !was_draining)
 		lw_effects_log(out, LW_LOG_peer_draining, ev->peer, 0);
 }
--- a/src/guard_in.c
+++ b/src/guard_in.c
@@ -158,7 +158,7 @@
 		}
 		/* fall through: the answer was dropped for room */
 	case LW_REC_RUNNING:
-	case LW_REC_MAYBE:
+	case LW_REC_UNCERTAIN:
 		break;
 	}
 	/* the first copy runs or may have run, so this is not "not run" */
@@ -219,7 +219,7 @@
 static void settle_records(guard_t *g, const guard_in_call_t *c, const lw_event_t *ev,
 			   lw_effects_t *out)
 {
-	lw_record_state_t state = ev->outcome == LW_DONE ? LW_REC_DONE : LW_REC_MAYBE;
+	lw_record_state_t state = ev->outcome == LW_DONE ? LW_REC_DONE : LW_REC_UNCERTAIN;
 	bool kept[2] = { false, false };
 
 	if (ev->outcome == LW_NOT_RUN) {
--- a/src/httphead.c
+++ b/src/httphead.c
@@ -290,12 +290,12 @@
 }
 
 /* lw_httphead_notice() - what the backend server announces of itself in an answer. */
-lw_notice_said_t lw_httphead_notice(const lw_httphead_t *h)
+lw_notice_fields_t lw_httphead_notice(const lw_httphead_t *h)
 {
-	lw_notice_said_t said = { 0 };
+	lw_notice_fields_t said = { 0 };
 
 	for (size_t i = 0; i < h->nfields; i++)
-		lw_notice_field(&said, h->fields[i].meaning, h->fields[i].value);
+		lw_notice_parse_field(&said, h->fields[i].meaning, h->fields[i].value);
 	return said;
 }
 
--- a/src/httphead.h
+++ b/src/httphead.h
@@ -50,7 +50,7 @@
 lw_httphead_error_t lw_httphead_parse(lw_httphead_t *h, http_parser *parser,
 				      const lw_wirenames_t *names, lw_str_t block);
 lw_str_t lw_httphead_find(const lw_httphead_t *h, lw_header_t meaning);
-lw_notice_said_t lw_httphead_notice(const lw_httphead_t *h);
+lw_notice_fields_t lw_httphead_notice(const lw_httphead_t *h);
 void lw_httphead_forward(const lw_httphead_t *h, bool drop_identity, lw_bytebuf_t *out);
 void lw_httphead_framing(lw_bytebuf_t *out, int64_t body_length, bool may_omit);
 
--- a/src/lease.c
+++ b/src/lease.c
@@ -5,24 +5,24 @@
  * Evidence of a cut comes within this, or there is none: a failing call to the
  * store shows after LW_LEASE_PENDING_US, the server answers in milliseconds, us.
  */
-#define EVIDENCE_US 1200000
+#define EVIDENCE_WAIT_US 1200000
 /* a server is asked twice a second; two answers may be missed, us */
-#define HEALTHY_US 1600000
+#define HEALTH_VALID_US 1600000
 /* a failure of the store this long before the entry was missed belongs to it, us */
-#define FAILED_BEFORE_US 2000000
+#define FAILURE_LOOKBACK_US 2000000
 /*
  * A living server writes its entry again within about two seconds of reaching
  * the store; one that left in the meantime must be without work by then, us.
  */
-#define RETURN_US 1800000
+#define REREGISTER_US 1800000
 /*
  * An entry that was found missing this long before the store was read again, or
  * less, may as well be that of a server that left: it is gone so long after it
  * was missed. News of it takes 0.75 s; the rest is left of the drain time, us.
  */
-#define LEFT_US 1000000
+#define SHORT_OUTAGE_US 1000000
 
-static bool move_to(lw_lease_t *l, lw_lease_state_t state, lw_lease_cause_t cause)
+static bool set_state(lw_lease_t *l, lw_lease_state_t state, lw_lease_cause_t cause)
 {
 	l->state = state;
 	l->cause = cause;
@@ -30,89 +30,90 @@
 }
 
 /* lw_lease_found() - the entry is in the newest list. */
-void lw_lease_found(lw_lease_t *l)
+void lw_lease_entry_found(lw_lease_t *l)
 {
-	*l = (lw_lease_t){ .state = LW_LEASE_HELD, .cause = LW_LEASE_BY_LIST };
+	*l = (lw_lease_t){ .state = LW_LEASE_HELD, .cause = LW_LEASE_CAUSE_LIST };
 }
 
 /* lw_lease_missing() - the entry is not in the newest list and was before. */
-void lw_lease_missing(lw_lease_t *l, uint64_t now_us)
+void lw_lease_entry_missing(lw_lease_t *l, uint64_t now_us)
 {
 	if (l->state != LW_LEASE_HELD)
 		return;
 	l->lapsed_us = now_us;
-	l->left = false;
-	move_to(l, LW_LEASE_LAPSED, LW_LEASE_BY_LIST);
+	l->server_left = false;
+	set_state(l, LW_LEASE_LAPSED, LW_LEASE_CAUSE_LIST);
 }
 
-static bool failed_lately(const lw_lease_t *l, const lw_lease_evidence_t *ev)
+static bool store_failed_recently(const lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
-	return ev->failed_us && ev->failed_us + FAILED_BEFORE_US > l->lapsed_us;
+	return ev->store_failed_us && ev->store_failed_us + FAILURE_LOOKBACK_US > l->lapsed_us;
 }
 
 /* the last call to the store failed lately, or is about to */
-static bool cut_off(const lw_lease_t *l, const lw_lease_evidence_t *ev)
+static bool store_unreachable(const lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
-	return ev->pending || (ev->failed_us > ev->read_us && failed_lately(l, ev));
+	return ev->pending ||
+	       (ev->store_failed_us > ev->store_read_us && store_failed_recently(l, ev));
 }
 
-static bool healthy(const lw_lease_evidence_t *ev)
+static bool server_is_healthy(const lw_lease_evidence_t *ev)
 {
-	return ev->healthy_us && ev->now_us - ev->healthy_us < HEALTHY_US;
+	return ev->healthy_us && ev->now_us - ev->healthy_us < HEALTH_VALID_US;
 }
 
-static bool leave(lw_lease_t *l, lw_lease_cause_t cause)
+static bool set_gone(lw_lease_t *l, lw_lease_cause_t cause)
 {
-	l->left = cause != LW_LEASE_BY_TIME;
-	return move_to(l, LW_LEASE_GONE, cause);
+	l->server_left = cause != LW_LEASE_CAUSE_TIME;
+	return set_state(l, LW_LEASE_GONE, cause);
 }
 
 static bool step_lapsed(lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
-	if (ev->read_us > l->lapsed_us)
-		return leave(l, LW_LEASE_BY_STORE);
-	if (cut_off(l, ev) && healthy(ev))
-		return move_to(l, LW_LEASE_CUT, LW_LEASE_BY_STORE);
-	if (ev->now_us - l->lapsed_us > EVIDENCE_US)
-		return leave(l, LW_LEASE_BY_TIME);
+	if (ev->store_read_us > l->lapsed_us)
+		return set_gone(l, LW_LEASE_CAUSE_STORE);
+	if (store_unreachable(l, ev) && server_is_healthy(ev))
+		return set_state(l, LW_LEASE_CUT, LW_LEASE_CAUSE_STORE);
+	if (ev->now_us - l->lapsed_us > EVIDENCE_WAIT_US)
+		return set_gone(l, LW_LEASE_CAUSE_TIME);
 	return false;
 }
 
-static bool step_cut(lw_lease_t *l, const lw_lease_evidence_t *ev)
+static bool step_partitioned(lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
-	if (ev->read_us <= l->lapsed_us || cut_off(l, ev))
+	if (ev->store_read_us <= l->lapsed_us || store_unreachable(l, ev))
 		return false;
 	/* no call failed: the answer was only slow, and shows that the entry is missing */
-	if (!failed_lately(l, ev))
-		return leave(l, LW_LEASE_BY_STORE);
+	if (!store_failed_recently(l, ev))
+		return set_gone(l, LW_LEASE_CAUSE_STORE);
 	l->returned_us = ev->now_us;
-	return move_to(l, LW_LEASE_RETURNING, LW_LEASE_BY_STORE);
+	return set_state(l, LW_LEASE_RETURNING, LW_LEASE_CAUSE_STORE);
 }
 
 /* until when the entry may come back */
-static uint64_t return_ends_us(const lw_lease_t *l)
+static uint64_t reregister_deadline_us(const lw_lease_t *l)
 {
-	if (l->returned_us - l->lapsed_us < EVIDENCE_US)
-		return l->lapsed_us + LEFT_US;
-	return l->returned_us + RETURN_US;
+	if (l->returned_us - l->lapsed_us < EVIDENCE_WAIT_US)
+		return l->lapsed_us + SHORT_OUTAGE_US;
+	return l->returned_us + REREGISTER_US;
 }
 
 static bool step_returning(lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
-	bool soon = l->returned_us - l->lapsed_us < EVIDENCE_US;
+	bool soon = l->returned_us - l->lapsed_us < EVIDENCE_WAIT_US;
 
-	if (cut_off(l, ev) && ev->failed_us > l->returned_us)
-		return move_to(l, LW_LEASE_CUT, LW_LEASE_BY_STORE);
-	if (ev->now_us > return_ends_us(l))
-		return leave(l, soon ? LW_LEASE_BY_TIME : LW_LEASE_BY_STORE);
+	if (store_unreachable(l, ev) && ev->store_failed_us > l->returned_us)
+		return set_state(l, LW_LEASE_CUT, LW_LEASE_CAUSE_STORE);
+	if (ev->now_us > reregister_deadline_us(l))
+		return set_gone(l, soon ? LW_LEASE_CAUSE_TIME : LW_LEASE_CAUSE_STORE);
 	return false;
 }
 
 /* without certainty, evidence that came late still counts */
 static bool step_gone(lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
-	if (!l->left && cut_off(l, ev) && healthy(ev))
-		return move_to(l, LW_LEASE_CUT, LW_LEASE_BY_STORE);
+	if (!l->server_left && store_unreachable(l, ev) && server_is_healthy(ev))
+		return set_state(l, LW_LEASE_CUT, LW_LEASE_CAUSE_STORE);
 	return false;
 }
 
@@ -122,13 +123,13 @@
 	if (l->state == LW_LEASE_HELD)
 		return false;
 	if (ev->leaving && l->state != LW_LEASE_GONE)
-		return leave(l, LW_LEASE_BY_SERVER);
-	l->left |= ev->leaving;
+		return set_gone(l, LW_LEASE_CAUSE_SERVER);
+	l->server_left |= ev->leaving;
 	switch (l->state) {
 	case LW_LEASE_LAPSED:
 		return step_lapsed(l, ev);
 	case LW_LEASE_CUT:
-		return step_cut(l, ev);
+		return step_partitioned(l, ev);
 	case LW_LEASE_RETURNING:
 		return step_returning(l, ev);
 	default:
@@ -143,9 +144,10 @@
 }
 
 /* lw_lease_vouches() - whether other nodes may be told to use the server on. */
-bool lw_lease_vouches(const lw_lease_t *l, const lw_lease_evidence_t *ev)
+bool lw_lease_asserts_liveness(const lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
-	return (l->state == LW_LEASE_CUT || l->state == LW_LEASE_RETURNING) && healthy(ev);
+	return (l->state == LW_LEASE_CUT || l->state == LW_LEASE_RETURNING) &&
+	       server_is_healthy(ev);
 }
 
 /* lw_lease_state_name() - for the log and the status page. */
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -47,11 +47,11 @@
 	/* a node knows this of a request; returns what others must hear now, or NULL */
 	const lw_suspect_t *(*suspect)(void *ctx, const lw_suspect_t *told);
 	/* the node with this digest reports; returns what it has to know, at most @most */
-	size_t (*quota_report)(void *ctx, uint64_t node, const lw_quota_use_t *uses, size_t n,
-			       lw_quota_term_t *out, size_t most);
+	size_t (*quota_report)(void *ctx, uint64_t node, const lw_quota_usage_t *uses, size_t n,
+			       lw_quota_grant_t *out, size_t most);
 	/* the keeper at @node has answered the report @number */
 	void (*quota_terms)(void *ctx, const char *node, uint32_t number,
-			    const lw_quota_term_t *terms, size_t n);
+			    const lw_quota_grant_t *terms, size_t n);
 	/* the requests that a node that begins must know of */
 	size_t (*suspects)(void *ctx, const lw_suspect_t **out, size_t most);
 } lw_mesh_ops_t;
@@ -82,7 +82,7 @@
 void lw_mesh_tell_ended(lw_mesh_t *m, uint64_t process, const lw_fingerprint_t *prints, size_t n);
 void lw_mesh_tell_suspect(lw_mesh_t *m, const lw_suspect_t *s);
 bool lw_mesh_report_quota(lw_mesh_t *m, const char *keeper, uint64_t node, uint32_t number,
-			  const lw_quota_use_t *uses, size_t n);
+			  const lw_quota_usage_t *uses, size_t n);
 void lw_mesh_contact(lw_mesh_t *m, const char *node);
 const lw_mesh_stats_t *lw_mesh_stats(const lw_mesh_t *m);
 const char *lw_mesh_control_name(size_t kind);
--- a/src/meshquota.c
+++ b/src/meshquota.c
@@ -7,9 +7,9 @@
 #define DEMAND_MOST (UINT32_MAX / 1000)
 
 /* the parts of the frame that is being sent or taken */
-static lw_quota_use_t uses_in[ENTRIES_MOST];
-static lw_quota_term_t terms_in[ENTRIES_MOST];
-static lw_quota_term_t terms_out[ENTRIES_MOST];
+static lw_quota_usage_t uses_in[ENTRIES_MOST];
+static lw_quota_grant_t terms_in[ENTRIES_MOST];
+static lw_quota_grant_t terms_out[ENTRIES_MOST];
 static Lw__QuotaUse use_wire[ENTRIES_MOST];
 static Lw__QuotaUse *use_list[ENTRIES_MOST];
 static Lw__QuotaTerm term_wire[ENTRIES_MOST];
@@ -30,7 +30,7 @@
  * @keeper; false if there is no connection that it could go over now.
  */
 bool lw_mesh_report_quota(lw_mesh_t *m, const char *keeper, uint64_t node, uint32_t number,
-			  const lw_quota_use_t *uses, size_t n)
+			  const lw_quota_usage_t *uses, size_t n)
 {
 	lw_link_t *l = lw_link_to(m, keeper);
 	Lw__QuotaReport w = LW__QUOTA_REPORT__INIT;
@@ -55,7 +55,7 @@
 	return true;
 }
 
-static void send_terms(lw_link_t *l, uint32_t number, const lw_quota_term_t *terms, size_t n)
+static void send_terms(lw_link_t *l, uint32_t number, const lw_quota_grant_t *terms, size_t n)
 {
 	Lw__QuotaTerms w = LW__QUOTA_TERMS__INIT;
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
@@ -82,8 +82,8 @@
 	size_t n = bounded(w->n_uses);
 
 	for (size_t i = 0; i < n; i++)
-		uses_in[i] = (lw_quota_use_t){ w->uses[i]->org, w->uses[i]->asked,
-					       w->uses[i]->admitted };
+		uses_in[i] = (lw_quota_usage_t){ w->uses[i]->org, w->uses[i]->asked,
+						 w->uses[i]->admitted };
 	n = m->ops->quota_report(m->ctx, w->node, uses_in, n, terms_out, ENTRIES_MOST);
 	send_terms(l, w->number, terms_out, n);
 }
@@ -95,7 +95,7 @@
 	size_t n = bounded(w->n_terms);
 
 	for (size_t i = 0; i < n; i++)
-		terms_in[i] = (lw_quota_term_t){ w->terms[i]->org, w->terms[i]->admit_permille,
-						 w->terms[i]->demand_milli / 1000.0 };
+		terms_in[i] = (lw_quota_grant_t){ w->terms[i]->org, w->terms[i]->admit_permille,
+						  w->terms[i]->demand_milli / 1000.0 };
 	m->ops->quota_terms(m->ctx, l->node, w->number, terms_in, n);
 }
--- a/src/meshsuspects.c
+++ b/src/meshsuspects.c
@@ -35,10 +35,10 @@
 	lw__suspect__init(out);
 	out->head = s->print.head;
 	out->whole = s->print.whole;
-	out->n_ends = s->nends;
+	out->n_ends = s->ncrashes;
 	out->ends = (uint64_t *)(uintptr_t)s->end;
 	out->trials = s->trials;
-	out->ended_age_ms = age_ms(s->ended_us, now_us);
+	out->ended_age_ms = age_ms(s->last_crash_us, now_us);
 	out->cleared_age_ms = age_ms(s->cleared_us, now_us);
 	if (s->held_until_us > now_us)
 		out->held_ms = (uint32_t)((s->held_until_us - now_us) / 1000);
@@ -50,14 +50,14 @@
 	lw_suspect_t s = {
 		.print = { in->head, in->whole },
 		.trials = in->trials < TRIALS_MOST ? in->trials : TRIALS_MOST,
-		.ended_us = time_of(in->ended_age_ms, now_us),
+		.last_crash_us = time_of(in->ended_age_ms, now_us),
 		.cleared_us = time_of(in->cleared_age_ms, now_us),
 		.held_until_us = held_ms ? now_us + (uint64_t)held_ms * 1000 : 0,
 	};
 
-	while (s.nends < in->n_ends && s.nends < LW_SUSPECT_ENDS_MAX) {
-		s.end[s.nends] = in->ends[s.nends];
-		s.nends++;
+	while (s.ncrashes < in->n_ends && s.ncrashes < LW_SUSPECT_CRASHES_MAX) {
+		s.end[s.ncrashes] = in->ends[s.ncrashes];
+		s.ncrashes++;
 	}
 	return s;
 }
@@ -143,7 +143,7 @@
 
 static void take_ended(lw_mesh_t *m, const Lw__ServerEnded *w)
 {
-	lw_suspect_t s = { .end = { w->process }, .nends = 1, .ended_us = m->hub->now_us };
+	lw_suspect_t s = { .end = { w->process }, .ncrashes = 1, .last_crash_us = m->hub->now_us };
 
 	for (size_t i = 0; i < w->n_heads && i < w->n_wholes && i < LW_CRASH_SUSPECTS_MAX; i++) {
 		s.print = (lw_fingerprint_t){ w->heads[i], w->wholes[i] };
--- a/src/notice.c
+++ b/src/notice.c
@@ -7,8 +7,8 @@
 #include <xxhash.h>
 
 /* the headers that announce something */
-static const lw_header_t meanings[] = { LW_HEADER_LEAVING, LW_HEADER_LIMIT };
-#define NMEANINGS (sizeof(meanings) / sizeof(meanings[0]))
+static const lw_header_t announcement_headers[] = { LW_HEADER_LEAVING, LW_HEADER_LIMIT };
+#define NANNOUNCEMENT_HEADERS (sizeof(announcement_headers) / sizeof(announcement_headers[0]))
 /* longest text of a limit, in bytes */
 #define LIMIT_TEXT_MAX 15
 
@@ -28,7 +28,7 @@
 	return true;
 }
 
-static void take_limit(lw_notice_said_t *said, lw_str_t value)
+static void parse_limit(lw_notice_fields_t *said, lw_str_t value)
 {
 	char text[LIMIT_TEXT_MAX + 1];
 
@@ -46,12 +46,12 @@
  * lw_notice_field() - take over one header of an answer, of a known @meaning, into
  * @said, which is all zeroes before the first.
  */
-void lw_notice_field(lw_notice_said_t *said, lw_header_t meaning, lw_str_t value)
+void lw_notice_parse_field(lw_notice_fields_t *said, lw_header_t meaning, lw_str_t value)
 {
 	if (meaning == LW_HEADER_LEAVING)
 		said->leaving |= lw_str_eq_c(value, "1");
 	else if (meaning == LW_HEADER_LIMIT)
-		take_limit(said, value);
+		parse_limit(said, value);
 }
 
 static lw_str_t trimmed(lw_str_t s)
@@ -65,7 +65,7 @@
 	return s;
 }
 
-static void take_line(lw_notice_said_t *said, lw_str_t line, const lw_wirenames_t *names)
+static void parse_line(lw_notice_fields_t *said, lw_str_t line, const lw_wirenames_t *names)
 {
 	const char *colon = memchr(line.ptr, ':', line.len);
 	size_t name_len;
@@ -73,13 +73,13 @@
 	if (!colon)
 		return;
 	name_len = (size_t)(colon - line.ptr);
-	for (size_t i = 0; i < NMEANINGS; i++) {
-		const char *name = names->header[meanings[i]];
+	for (size_t i = 0; i < NANNOUNCEMENT_HEADERS; i++) {
+		const char *name = names->header[announcement_headers[i]];
 
 		if (strlen(name) != name_len || strncasecmp(line.ptr, name, name_len) != 0)
 			continue;
-		lw_notice_field(said, meanings[i],
-				trimmed((lw_str_t){ colon + 1, line.len - name_len - 1 }));
+		lw_notice_parse_field(said, announcement_headers[i],
+				      trimmed((lw_str_t){ colon + 1, line.len - name_len - 1 }));
 	}
 }
 
@@ -88,21 +88,21 @@
  * that passes an answer on reads it itself: the node beside the server may be of a
  * version that does not.
  */
-void lw_notice_in_head(lw_notice_said_t *said, lw_str_t head, const lw_wirenames_t *names)
+void lw_notice_parse_head(lw_notice_fields_t *said, lw_str_t head, const lw_wirenames_t *names)
 {
 	while (head.len) {
 		const char *end = memmem(head.ptr, head.len, "\r\n", 2);
 		size_t len = end ? (size_t)(end - head.ptr) : head.len;
 		size_t used = end ? len + 2 : len;
 
-		take_line(said, (lw_str_t){ head.ptr, len }, names);
+		parse_line(said, (lw_str_t){ head.ptr, len }, names);
 		head.ptr += used;
 		head.len -= used;
 	}
 }
 
 /* lw_notice_server() - digest of a backend server's id, never 0. */
-uint64_t lw_notice_server(const char *id)
+uint64_t lw_notice_server_digest(const char *id)
 {
 	return XXH64(id, strlen(id), 0) | 1;
 }
@@ -122,14 +122,14 @@
  * they were given in: a lower limit counts at once, a higher one or none only in the
  * answer to a request that was sent after the lower one was heard.
  */
-bool lw_notice_limit_hear(lw_notice_limit_t *l, const lw_notice_said_t *said, uint64_t sent_us,
-			  uint64_t now_us)
+bool lw_notice_limit_from_response(lw_notice_limit_t *l, const lw_notice_fields_t *said,
+				   uint64_t sent_us, uint64_t now_us)
 {
 	bool higher = l->on && (!said->limited || said->limit_per_s > l->per_s);
 
-	if (higher && sent_us < l->heard_us)
+	if (higher && sent_us < l->updated_us)
 		return false;
-	l->heard_us = now_us;
+	l->updated_us = now_us;
 	return set_limit(l, said->limited, said->limit_per_s);
 }
 
@@ -138,16 +138,16 @@
  * it. It counts where the server itself has not been heard yet, as in a process that
  * has just started.
  */
-bool lw_notice_limit_told(lw_notice_limit_t *l, double per_s)
+bool lw_notice_limit_from_peer(lw_notice_limit_t *l, double per_s)
 {
-	if (l->heard_us || (l->on && l->per_s <= per_s))
+	if (l->updated_us || (l->on && l->per_s <= per_s))
 		return false;
 	return set_limit(l, true, per_s);
 }
 
 /* lw_notice_is_of() - whether @n is of the process @born_ms of server @id; a start that is not told matches any. */
-bool lw_notice_is_of(const lw_notice_t *n, const char *id, uint64_t born_ms)
+bool lw_notice_matches(const lw_notice_t *n, const char *id, uint64_t born_ms)
 {
-	return n->server && n->server == lw_notice_server(id) &&
+	return n->server && n->server == lw_notice_server_digest(id) &&
 	       (!n->born_ms || !born_ms || n->born_ms == born_ms);
 }
--- a/src/organisation.c
+++ b/src/organisation.c
@@ -9,10 +9,10 @@
 #include "xalloc.h"
 
 /* places in the hash table for each key: at most half of them are taken */
-#define PLACES_PER_KEY 2
+#define SLOTS_PER_KEY 2
 
 /* a key as it was added: its text lies in the arena */
-typedef struct lw_key {
+typedef struct lw_orgkey {
 	uint64_t digest;
 	uint32_t at;
 	uint16_t len;
@@ -26,8 +26,8 @@
 	size_t nkeys;
 	char *text; /* of all keys, one after the other */
 	size_t textlen;
-	lw_orgkey_t *places; /* hash table with linear probing, once sealed */
-	size_t nplaces; /* a power of two */
+	lw_orgkey_t *slots; /* hash table with linear probing, once sealed */
+	size_t nslots; /* a power of two */
 };
 
 /* lw_orgs_new() - no organisations yet. */
@@ -44,7 +44,7 @@
 	free(o->orgs);
 	free(o->keys);
 	free(o->text);
-	free(o->places);
+	free(o->slots);
 	free(o);
 }
 
@@ -66,7 +66,7 @@
 {
 	lw_orgkey_t *k;
 
-	if (!o->norgs || !key.len || key.len > LW_KEY_MAX)
+	if (!o->norgs || !key.len || key.len > LW_ORG_KEY_MAX)
 		return;
 	o->keys = xrealloc(o->keys, (o->nkeys + 1) * sizeof(*k));
 	o->text = xrealloc(o->text, o->textlen + key.len);
@@ -80,27 +80,27 @@
 }
 
 /* compared in constant time: how long it takes tells nothing of a key */
-static bool key_is(const lw_orgs_t *o, const lw_orgkey_t *k, uint64_t digest, lw_str_t key)
+static bool key_matches(const lw_orgs_t *o, const lw_orgkey_t *k, uint64_t digest, lw_str_t key)
 {
 	return k->digest == digest && k->len == key.len &&
 	       nettle_memeql_sec(o->text + k->at, key.ptr, key.len);
 }
 
 /* the place of @key in the table, or the free one where it would stand */
-static lw_orgkey_t *place_of(const lw_orgs_t *o, uint64_t digest, lw_str_t key)
+static lw_orgkey_t *slot_of(const lw_orgs_t *o, uint64_t digest, lw_str_t key)
 {
-	size_t at = digest & (o->nplaces - 1);
+	size_t at = digest & (o->nslots - 1);
 
-	while (o->places[at].org && !key_is(o, &o->places[at], digest, key))
-		at = (at + 1) & (o->nplaces - 1);
-	return &o->places[at];
+	while (o->slots[at].org && !key_matches(o, &o->slots[at], digest, key))
+		at = (at + 1) & (o->nslots - 1);
+	return &o->slots[at];
 }
 
-static size_t places_for(size_t nkeys)
+static size_t slots_for(size_t nkeys)
 {
 	size_t n = 1;
 
-	while (n < nkeys * PLACES_PER_KEY + 1)
+	while (n < nkeys * SLOTS_PER_KEY + 1)
 		n *= 2;
 	return n;
 }
@@ -112,18 +112,18 @@
  */
 lw_status_t lw_orgs_seal(lw_orgs_t *o)
 {
-	o->nplaces = places_for(o->nkeys);
-	o->places = xcalloc(o->nplaces, sizeof(*o->places));
+	o->nslots = slots_for(o->nkeys);
+	o->slots = xcalloc(o->nslots, sizeof(*o->slots));
 	for (size_t i = 0; i < o->nkeys; i++) {
 		const lw_orgkey_t *k = &o->keys[i];
-		lw_orgkey_t *place = place_of(o, k->digest, (lw_str_t){ o->text + k->at, k->len });
+		lw_orgkey_t *slot = slot_of(o, k->digest, (lw_str_t){ o->text + k->at, k->len });
 
-		if (place->org && place->org != k->org)
+		if (slot->org && slot->org != k->org)
 			return lw_error(
 				LW_ERR_CONFIG,
 				"organisations %s and %s hold the same key; give each its own",
-				o->orgs[place->org - 1].name, o->orgs[k->org - 1].name);
-		*place = *k;
+				o->orgs[slot->org - 1].name, o->orgs[k->org - 1].name);
+		*slot = *k;
 	}
 	free(o->keys);
 	o->keys = NULL;
@@ -145,10 +145,10 @@
 /* lw_orgs_by_key() - the organisation that holds @key, NULL if none does. */
 const lw_organisation_t *lw_orgs_by_key(const lw_orgs_t *o, lw_str_t key)
 {
-	const lw_orgkey_t *place;
+	const lw_orgkey_t *slot;
 
-	if (!key.len || key.len > LW_KEY_MAX)
+	if (!key.len || key.len > LW_ORG_KEY_MAX)
 		return NULL;
-	place = place_of(o, XXH3_64bits(key.ptr, key.len), key);
-	return place->org ? &o->orgs[place->org - 1] : NULL;
+	slot = slot_of(o, XXH3_64bits(key.ptr, key.len), key);
+	return slot->org ? &o->orgs[slot->org - 1] : NULL;
 }
--- a/src/organisation.h
+++ b/src/organisation.h
@@ -19,7 +19,7 @@
 #define LW_ORG_PRIORITY_DEFAULT 1
 
 /* Longer keys are no keys, in bytes. */
-#define LW_KEY_MAX 256
+#define LW_ORG_KEY_MAX 256
 
 typedef struct lw_organisation {
 	char name[LW_NAME_MAX];
--- a/src/peerset.c
+++ b/src/peerset.c
@@ -363,7 +363,7 @@
  * Hearing from a suspected peer does not clear it otherwise: a node can
  * answer heartbeats while its backend server hangs.
  */
-void lw_peer_heard(lw_peer_t *p, uint64_t incarnation, bool draining, uint64_t now_ms)
+void lw_peer_update_status(lw_peer_t *p, uint64_t incarnation, bool draining, uint64_t now_ms)
 {
 	if (incarnation && incarnation != p->incarnation) {
 		if (p->incarnation)
@@ -381,7 +381,7 @@
 }
 
 /* lw_peer_loaded() - @p told its load: in-flight over limit, in permille. */
-void lw_peer_loaded(lw_peer_t *p, uint32_t load_permille, uint64_t now_ms)
+void lw_peer_update_load(lw_peer_t *p, uint32_t load_permille, uint64_t now_ms)
 {
 	p->load_permille = load_permille;
 	p->load_at_ms = now_ms;
--- a/src/peerset.h
+++ b/src/peerset.h
@@ -60,7 +60,7 @@
 const char *lw_peer_state_name(lw_peer_state_t s);
 bool lw_peer_failed(lw_peer_t *p, uint64_t now_ms);
 bool lw_peer_succeeded(lw_peer_t *p);
-void lw_peer_heard(lw_peer_t *p, uint64_t incarnation, bool draining, uint64_t now_ms);
-void lw_peer_loaded(lw_peer_t *p, uint32_t load_permille, uint64_t now_ms);
+void lw_peer_update_status(lw_peer_t *p, uint64_t incarnation, bool draining, uint64_t now_ms);
+void lw_peer_update_load(lw_peer_t *p, uint32_t load_permille, uint64_t now_ms);
 
 #endif
--- a/src/place.c
+++ b/src/place.c
@@ -400,7 +400,7 @@
 	h->load = *load;
 	h->load_us = now_us;
 	h->sent = 0;
-	if (!lw_notice_is_of(&load->notice, h->id, h->born_ms))
+	if (!lw_notice_matches(&load->notice, h->id, h->born_ms))
 		memset(&h->load.notice, 0, sizeof(h->load.notice));
 	return h->load.notice.leaving && lw_place_leaves(h);
 }
--- a/src/probe.c
+++ b/src/probe.c
@@ -24,7 +24,7 @@
 {
 	lw_probe_t *p = user;
 	lw_str_t id = lw_httphead_find(h, LW_HEADER_INSTANCE);
-	lw_notice_said_t said = lw_httphead_notice(h);
+	lw_notice_fields_t said = lw_httphead_notice(h);
 
 	if (lw_str_eq_c(id, p->server_id) && p->heard)
 		p->heard(p->heard_ctx, &said, p->began_us);
--- a/src/proxy_int.h
+++ b/src/proxy_int.h
@@ -9,7 +9,7 @@
 #include "lease.h"
 #include "probe.h"
 #include "proxy.h"
-#include "quotakeeper.h"
+#include "quotacoord.h"
 #include "revdoc.h"
 #include "spread.h"
 
@@ -51,10 +51,10 @@
 	uint64_t limit_asked_us; /* when it was last asked for that */
 	lw_notice_limit_t told_limit; /* as others and the log heard it last */
 	uint64_t told_invalid; /* answers with a limit that is no number, as logged last */
-	lw_quotakeeper_t *keeper; /* of limits, should other nodes take this one for one */
-	char quota_keeper[LW_QUOTA_KEEPERS][LW_NAME_MAX]; /* mesh addresses; empty: none */
+	lw_quotacoord_t *keeper; /* of limits, should other nodes take this one for one */
+	char quota_keeper[LW_QUOTA_COORDINATORS][LW_NAME_MAX]; /* mesh addresses; empty: none */
 	uint64_t quota_node; /* digest of this node's address */
-	uint32_t quota_number[LW_QUOTA_KEEPERS]; /* of the newest report */
+	uint32_t quota_number[LW_QUOTA_COORDINATORS]; /* of the newest report */
 	bool quota_alone; /* none is heard of, as logged last */
 	ev_timer quota_step; /* runs while organisations are known */
 	uint64_t born_ms; /* start of the server's process; 0: not told */
@@ -69,7 +69,7 @@
 void lw_proxy_lease_init(lw_proxy_t *p);
 void lw_proxy_lease_missing(lw_proxy_t *p);
 void lw_proxy_announce(void *ctx);
-void lw_proxy_heard(void *ctx, const lw_notice_said_t *said, uint64_t sent_us);
+void lw_proxy_heard(void *ctx, const lw_notice_fields_t *said, uint64_t sent_us);
 void lw_proxy_notice_init(lw_proxy_t *p);
 const char *lw_proxy_health_path(const lw_proxy_t *p);
 void lw_proxy_lease_found(lw_proxy_t *p, uint64_t born_ms);
@@ -78,9 +78,9 @@
 void lw_proxy_quota_config(lw_proxy_t *p);
 void lw_proxy_quota_servers(lw_proxy_t *p, const lw_serverlist_t *sl);
 void lw_proxy_quota_node_lost(lw_proxy_t *p, const char *node);
-size_t lw_proxy_quota_report(void *ctx, uint64_t node, const lw_quota_use_t *reported, size_t n,
-			     lw_quota_term_t *out, size_t most);
-void lw_proxy_quota_told(void *ctx, const char *node, uint32_t number, const lw_quota_term_t *told,
+size_t lw_proxy_quota_report(void *ctx, uint64_t node, const lw_quota_usage_t *reported, size_t n,
+			     lw_quota_grant_t *out, size_t most);
+void lw_proxy_quota_told(void *ctx, const char *node, uint32_t number, const lw_quota_grant_t *told,
 			 size_t n);
 void lw_proxy_read_for(lw_proxy_t *p, uint64_t us, lw_feed_why_t why);
 void lw_proxy_contact_lost(lw_proxy_t *p);
--- a/src/proxycrash.c
+++ b/src/proxycrash.c
@@ -8,7 +8,7 @@
 static void log_change(const lw_suspect_t *s, uint64_t now_us, const char *by)
 {
 	lw_log(LW_LOG_suspect_changed, "print=%016llx ends=%u trials=%u held_ms=%llu by=%s",
-	       (unsigned long long)s->print.whole, s->nends, s->trials,
+	       (unsigned long long)s->print.whole, s->ncrashes, s->trials,
 	       (unsigned long long)(s->held_until_us > now_us ? (s->held_until_us - now_us) / 1000 :
 								0),
 	       by);
@@ -26,10 +26,10 @@
 	lw_mesh_tell_ended(p->engine.mesh, process, prints, crash->nsuspects);
 	for (uint32_t i = 0; i < crash->nsuspects; i++) {
 		const lw_suspect_t *s =
-			lw_quarantine_ended(p->engine.quarantine, &prints[i], process,
-					    crash->suspects[i].tried, p->hub.now_us);
+			lw_quarantine_server_crashed(p->engine.quarantine, &prints[i], process,
+						     crash->suspects[i].tried, p->hub.now_us);
 
-		if (!lw_suspect_matters(s))
+		if (!lw_suspect_is_restricted(s))
 			continue;
 		log_change(s, p->hub.now_us, "end");
 		lw_mesh_tell_suspect(p->engine.mesh, s);
@@ -40,7 +40,7 @@
 const lw_suspect_t *lw_proxy_suspect(void *ctx, const lw_suspect_t *told)
 {
 	lw_proxy_t *p = ctx;
-	const lw_suspect_t *s = lw_quarantine_told(p->engine.quarantine, told, p->hub.now_us);
+	const lw_suspect_t *s = lw_quarantine_merge(p->engine.quarantine, told, p->hub.now_us);
 
 	if (s)
 		log_change(s, p->hub.now_us, "peer");
--- a/src/proxylease.c
+++ b/src/proxylease.c
@@ -16,8 +16,8 @@
 {
 	return (lw_lease_evidence_t){
 		.now_us = p->hub.now_us,
-		.read_us = lw_feed_last_read_us(&p->feed),
-		.failed_us = lw_feed_last_failure_us(&p->feed),
+		.store_read_us = lw_feed_last_read_us(&p->feed),
+		.store_failed_us = lw_feed_last_failure_us(&p->feed),
 		.pending = lw_feed_overdue(&p->feed, LW_LEASE_PENDING_US),
 		.healthy_us = p->probe.healthy_us,
 		.leaving = p->probe.leaving || p->engine.gate.notice.leaving,
@@ -31,8 +31,11 @@
 	       p->engine.gate.server_id, lw_lease_state_name(p->lease.state),
 	       lw_lease_cause_name(p->lease.cause),
 	       (unsigned long long)((ev->now_us - p->lease.lapsed_us) / 1000),
-	       (unsigned long long)(ev->read_us ? (ev->now_us - ev->read_us) / 1000 : 0),
-	       (unsigned long long)(ev->failed_us ? (ev->now_us - ev->failed_us) / 1000 : 0),
+	       (unsigned long long)(ev->store_read_us ? (ev->now_us - ev->store_read_us) / 1000 :
+							0),
+	       (unsigned long long)(ev->store_failed_us ?
+					    (ev->now_us - ev->store_failed_us) / 1000 :
+					    0),
 	       (unsigned long long)(ev->healthy_us ? (ev->now_us - ev->healthy_us) / 1000 : 0),
 	       ev->leaving);
 }
@@ -77,7 +80,7 @@
 		log_change(p, &ev);
 		lw_gate_set_leaving(&p->engine.gate, !lw_lease_in_use(&p->lease));
 	}
-	if (p->lease.state == LW_LEASE_GONE && p->lease.left) {
+	if (p->lease.state == LW_LEASE_GONE && p->lease.server_left) {
 		ev_timer_stop(loop, w);
 		lw_mesh_vouch(p->engine.mesh, "", 0);
 		lw_mesh_announce(p->engine.mesh);
@@ -88,7 +91,7 @@
 		return;
 	p->round_us = p->hub.now_us;
 	ask_server(p);
-	if (lw_lease_vouches(&p->lease, &ev))
+	if (lw_lease_asserts_liveness(&p->lease, &ev))
 		vouch(p);
 	else
 		lw_mesh_vouch(p->engine.mesh, "", 0);
@@ -99,7 +102,7 @@
 {
 	if (p->lease.state != LW_LEASE_HELD)
 		return;
-	lw_lease_missing(&p->lease, p->hub.now_us);
+	lw_lease_entry_missing(&p->lease, p->hub.now_us);
 	lw_probe_reset(&p->probe, p->engine.gate.server_id);
 	p->round_us = p->hub.now_us;
 	ask_server(p);
@@ -114,7 +117,7 @@
 	p->born_ms = born_ms;
 	if (p->lease.state == LW_LEASE_HELD)
 		return;
-	lw_lease_found(&p->lease);
+	lw_lease_entry_found(&p->lease);
 	lw_log(LW_LOG_lease_changed, "server=%s state=held by=list", p->engine.gate.server_id);
 	ev_timer_stop(p->hub.loop, &p->lease_step);
 	lw_mesh_vouch(p->engine.mesh, "", 0);
@@ -123,7 +126,7 @@
 /* lw_proxy_lease_init() - the lease is held until the list says otherwise. */
 void lw_proxy_lease_init(lw_proxy_t *p)
 {
-	lw_lease_found(&p->lease);
+	lw_lease_entry_found(&p->lease);
 	lw_probe_init(&p->probe, &p->hub);
 	p->probe.heard = lw_proxy_heard;
 	p->probe.heard_ctx = p;
--- a/src/proxynotice.c
+++ b/src/proxynotice.c
@@ -17,7 +17,7 @@
 }
 
 /* lw_proxy_heard() - the server has announced this in its answer to a health check. */
-void lw_proxy_heard(void *ctx, const lw_notice_said_t *said, uint64_t sent_us)
+void lw_proxy_heard(void *ctx, const lw_notice_fields_t *said, uint64_t sent_us)
 {
 	lw_proxy_t *p = ctx;
 
@@ -27,8 +27,8 @@
 static void log_limit(const lw_proxy_t *p)
 {
 	const lw_gate_t *g = &p->engine.gate;
-	const char *by = g->named.heard_us ? "answer" : "peer";
-	uint64_t age_ms = g->named.heard_us ? (p->hub.now_us - g->named.heard_us) / 1000 : 0;
+	const char *by = g->named.updated_us ? "answer" : "peer";
+	uint64_t age_ms = g->named.updated_us ? (p->hub.now_us - g->named.updated_us) / 1000 : 0;
 
 	if (g->named.on)
 		lw_log(LW_LOG_server_limit, "server=%s limit_per_s=%.3f by=%s age_ms=%llu",
@@ -69,7 +69,7 @@
 {
 	const lw_notice_limit_t *named = &p->engine.gate.named;
 
-	if (!named->on || p->hub.now_us - named->heard_us < UNHEARD_US ||
+	if (!named->on || p->hub.now_us - named->updated_us < UNHEARD_US ||
 	    p->hub.now_us - p->limit_asked_us < UNHEARD_US)
 		return;
 	p->limit_asked_us = p->hub.now_us;
--- a/src/proxystatus.c
+++ b/src/proxystatus.c
@@ -96,7 +96,7 @@
 
 	for (size_t i = 0; i < n; i++)
 		fprintf(f, "suspect: print=%016" PRIx64 " ends=%u trials=%u held_ms=%u\n",
-			list[i]->print.whole, list[i]->nends, list[i]->trials,
+			list[i]->print.whole, list[i]->ncrashes, list[i]->trials,
 			lw_quarantine_held_ms(e->quarantine, &list[i]->print, e->hub->now_us));
 }
 
@@ -109,7 +109,7 @@
 	if (!e->conf || !e->conf->orgs)
 		return;
 	fprintf(f, "limits: organisations=%zu alone=%d keepers=%s,%s\n",
-		lw_orgs_count(e->conf->orgs), lw_quota_alone(e->quota, e->hub->now_us),
+		lw_orgs_count(e->conf->orgs), lw_quota_is_standalone(e->quota, e->hub->now_us),
 		s->quota_keeper[0][0] ? s->quota_keeper[0] : "none",
 		s->quota_keeper[1][0] ? s->quota_keeper[1] : "none");
 	for (size_t i = 0; i < n; i++)
--- a/src/proxystatus.h
+++ b/src/proxystatus.h
@@ -25,7 +25,7 @@
 	lw_feed_why_t reads_why;
 	const char *news_from; /* the node that told the newest news of others; empty: none did */
 	const lw_spread_t *spread;
-	const char (*quota_keeper)[LW_NAME_MAX]; /* LW_QUOTA_KEEPERS of them */
+	const char (*quota_keeper)[LW_NAME_MAX]; /* LW_QUOTA_COORDINATORS of them */
 	const lw_mesh_stats_t *mesh;
 	const lw_feed_stats_t *feed;
 } lw_proxystatus_t;
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -8,19 +8,19 @@
 #include "xalloc.h"
 
 /* ends with which a request is tried alone: one may have hit anything in hand */
-#define TRIAL_ENDS 2
+#define TRIAL_CRASHES 2
 /* what was in hand at one end is remembered for so long, us */
-#define ONE_END_US 30000000
+#define ONE_CRASH_US 30000000
 /* what is to be tried alone, if nobody sends it any more, us */
-#define TRIAL_US 120000000
+#define TRIAL_MEMORY_US 120000000
 /* what was held, from the end of the last hold, us */
-#define HELD_BEFORE_US 3600000000
+#define HELD_MEMORY_US 3600000000
 /* an answer outlives what was told before it and comes late, us */
-#define ANSWERED_US 30000000
+#define ANSWER_MEMORY_US 30000000
 
 /* holds after the first, second and third trial that ended a server, us */
 static const uint64_t hold_us[] = { 15000000, 120000000, 960000000 };
-#define HOLDS (sizeof(hold_us) / sizeof(hold_us[0]))
+#define NHOLDS (sizeof(hold_us) / sizeof(hold_us[0]))
 /* after all of them it is held until nobody has sent it for so long, us */
 #define LAST_HOLD_US 3600000000
 
@@ -64,9 +64,9 @@
 }
 
 /* lw_suspect_matters() - whether requests are treated otherwise for it, now or later. */
-bool lw_suspect_matters(const lw_suspect_t *s)
+bool lw_suspect_is_restricted(const lw_suspect_t *s)
 {
-	return s->nends >= TRIAL_ENDS || s->trials;
+	return s->ncrashes >= TRIAL_CRASHES || s->trials;
 }
 
 /* a place for one more: the oldest that does not matter goes, or else the oldest */
@@ -78,7 +78,7 @@
 		return;
 	HASH_ITER(hh, q->entries, e, next)
 	{
-		if (!lw_suspect_matters(&e->s)) {
+		if (!lw_suspect_is_restricted(&e->s)) {
 			drop(q, e);
 			return;
 		}
@@ -103,7 +103,7 @@
 {
 	if (s->trials && now_us < s->held_until_us)
 		return LW_QUARANTINE_HELD;
-	return lw_suspect_matters(s) ? LW_QUARANTINE_TRIAL : LW_QUARANTINE_CLEAR;
+	return lw_suspect_is_restricted(s) ? LW_QUARANTINE_TRIAL : LW_QUARANTINE_CLEAR;
 }
 
 /* lw_quarantine_verdict() - what is to be done with a request that comes now. */
@@ -116,7 +116,7 @@
 	if (!e)
 		return LW_QUARANTINE_CLEAR;
 	v = verdict_of(&e->s, now_us);
-	if (v == LW_QUARANTINE_HELD && e->s.trials > HOLDS)
+	if (v == LW_QUARANTINE_HELD && e->s.trials > NHOLDS)
 		e->s.held_until_us = now_us + LAST_HOLD_US;
 	return v;
 }
@@ -126,17 +126,17 @@
 {
 	const entry_t *e = q->entries ? find(q, print) : NULL;
 
-	return e && (e->s.nends || e->s.trials) ? &e->s : NULL;
+	return e && (e->s.ncrashes || e->s.trials) ? &e->s : NULL;
 }
 
 /*
  * lw_quarantine_awaits_body() - whether a request with this method, host and target
  * may be one that matters: its body tells, so it is waited for.
  */
-bool lw_quarantine_awaits_body(const lw_quarantine_t *q, uint64_t head)
+bool lw_quarantine_needs_body(const lw_quarantine_t *q, uint64_t head)
 {
 	for (const entry_t *e = q->entries; e; e = e->hh.next)
-		if (e->s.print.head == head && lw_suspect_matters(&e->s))
+		if (e->s.print.head == head && lw_suspect_is_restricted(&e->s))
 			return true;
 	return false;
 }
@@ -152,38 +152,38 @@
 	return (uint32_t)((e->s.held_until_us - now_us) / 1000) + 1;
 }
 
-static void add_end(lw_suspect_t *s, uint64_t process)
+static void add_crash(lw_suspect_t *s, uint64_t process)
 {
-	for (uint32_t i = 0; i < s->nends; i++)
+	for (uint32_t i = 0; i < s->ncrashes; i++)
 		if (s->end[i] == process)
 			return;
-	if (s->nends < LW_SUSPECT_ENDS_MAX)
-		s->end[s->nends++] = process;
+	if (s->ncrashes < LW_SUSPECT_CRASHES_MAX)
+		s->end[s->ncrashes++] = process;
 }
 
 /*
  * lw_quarantine_ended() - the server process @process ended with the request in
  * hand; @tried: it was tried alone there. Returns what is known of it now.
  */
-const lw_suspect_t *lw_quarantine_ended(lw_quarantine_t *q, const lw_fingerprint_t *print,
-					uint64_t process, bool tried, uint64_t now_us)
+const lw_suspect_t *lw_quarantine_server_crashed(lw_quarantine_t *q, const lw_fingerprint_t *print,
+						 uint64_t process, bool tried, uint64_t now_us)
 {
 	lw_suspect_t *s = &get(q, print)->s;
 
-	add_end(s, process);
-	s->ended_us = now_us;
+	add_crash(s, process);
+	s->last_crash_us = now_us;
 	if (!tried)
 		return s;
-	s->held_until_us = now_us + (s->trials < HOLDS ? hold_us[s->trials] : LAST_HOLD_US);
+	s->held_until_us = now_us + (s->trials < NHOLDS ? hold_us[s->trials] : LAST_HOLD_US);
 	s->trials++;
 	return s;
 }
 
 static void clear(lw_suspect_t *s, uint64_t at_us)
 {
-	s->nends = 0;
+	s->ncrashes = 0;
 	s->trials = 0;
-	s->ended_us = 0;
+	s->last_crash_us = 0;
 	s->held_until_us = 0;
 	s->cleared_us = at_us;
 }
@@ -198,9 +198,9 @@
 	entry_t *e = q->entries ? find(q, print) : NULL;
 	bool mattered;
 
-	if (!e || !e->s.nends)
+	if (!e || !e->s.ncrashes)
 		return NULL;
-	mattered = lw_suspect_matters(&e->s);
+	mattered = lw_suspect_is_restricted(&e->s);
 	clear(&e->s, now_us);
 	return mattered ? &e->s : NULL;
 }
@@ -208,18 +208,18 @@
 static void merge(lw_suspect_t *s, const lw_suspect_t *told)
 {
 	if (told->cleared_us > s->cleared_us) {
-		if (told->cleared_us >= s->ended_us)
+		if (told->cleared_us >= s->last_crash_us)
 			clear(s, told->cleared_us);
 		s->cleared_us = told->cleared_us;
 	}
-	if (told->ended_us <= s->cleared_us)
+	if (told->last_crash_us <= s->cleared_us)
 		return;
-	for (uint32_t i = 0; i < told->nends; i++)
-		add_end(s, told->end[i]);
+	for (uint32_t i = 0; i < told->ncrashes; i++)
+		add_crash(s, told->end[i]);
 	if (told->trials > s->trials)
 		s->trials = told->trials;
-	if (told->ended_us > s->ended_us)
-		s->ended_us = told->ended_us;
+	if (told->last_crash_us > s->last_crash_us)
+		s->last_crash_us = told->last_crash_us;
 	if (told->held_until_us > s->held_until_us)
 		s->held_until_us = told->held_until_us;
 }
@@ -228,8 +228,8 @@
  * lw_quarantine_told() - another node knows this of a request. Returns what is known
  * of it now if it is treated otherwise from now on, so that others must hear of it.
  */
-const lw_suspect_t *lw_quarantine_told(lw_quarantine_t *q, const lw_suspect_t *told,
-				       uint64_t now_us)
+const lw_suspect_t *lw_quarantine_merge(lw_quarantine_t *q, const lw_suspect_t *told,
+					uint64_t now_us)
 {
 	lw_suspect_t *s = &get(q, &told->print)->s;
 	lw_quarantine_verdict_t before = verdict_of(s, now_us);
@@ -245,7 +245,7 @@
 	size_t n = 0;
 
 	for (const entry_t *e = q->entries; e && n < most; e = e->hh.next)
-		if (lw_suspect_matters(&e->s))
+		if (lw_suspect_is_restricted(&e->s))
 			out[n++] = &e->s;
 	return n;
 }
@@ -256,20 +256,20 @@
 	size_t n = 0;
 
 	for (const entry_t *e = q->entries; e; e = e->hh.next)
-		n += lw_suspect_matters(&e->s);
+		n += lw_suspect_is_restricted(&e->s);
 	return n;
 }
 
-static uint64_t forget_us(const lw_suspect_t *s)
+static uint64_t expiry_us(const lw_suspect_t *s)
 {
 	if (s->trials)
-		return (s->held_until_us > s->ended_us ? s->held_until_us : s->ended_us) +
-		       HELD_BEFORE_US;
-	if (lw_suspect_matters(s))
-		return s->ended_us + TRIAL_US;
-	if (s->nends)
-		return s->ended_us + ONE_END_US;
-	return s->cleared_us + ANSWERED_US;
+		return (s->held_until_us > s->last_crash_us ? s->held_until_us : s->last_crash_us) +
+		       HELD_MEMORY_US;
+	if (lw_suspect_is_restricted(s))
+		return s->last_crash_us + TRIAL_MEMORY_US;
+	if (s->ncrashes)
+		return s->last_crash_us + ONE_CRASH_US;
+	return s->cleared_us + ANSWER_MEMORY_US;
 }
 
 /* lw_quarantine_expire() - forget what has not come for long. */
@@ -278,6 +278,6 @@
 	entry_t *e, *next;
 
 	HASH_ITER(hh, q->entries, e, next)
-	if (now_us >= forget_us(&e->s))
+	if (now_us >= expiry_us(&e->s))
 		drop(q, e);
 }
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -21,7 +21,7 @@
 #include "fingerprint.h"
 
 /* Ends that are told apart: more of them change nothing. */
-#define LW_SUSPECT_ENDS_MAX 4
+#define LW_SUSPECT_CRASHES_MAX 4
 /* Requests that are remembered at most. */
 #define LW_QUARANTINE_MAX 1024
 
@@ -34,10 +34,10 @@
 /* What is known of one request; times are of the same clock, 0: never. */
 typedef struct lw_suspect {
 	lw_fingerprint_t print;
-	uint64_t end[LW_SUSPECT_ENDS_MAX]; /* processes that ended with it in hand */
-	uint32_t nends;
+	uint64_t end[LW_SUSPECT_CRASHES_MAX]; /* processes that ended with it in hand */
+	uint32_t ncrashes;
 	uint32_t trials; /* that ended their servers */
-	uint64_t ended_us; /* the newest end */
+	uint64_t last_crash_us; /* the newest end */
 	uint64_t held_until_us;
 	uint64_t cleared_us; /* an answer came; ends before it do not count */
 } lw_suspect_t;
@@ -49,16 +49,16 @@
 lw_quarantine_verdict_t lw_quarantine_verdict(lw_quarantine_t *q, const lw_fingerprint_t *print,
 					      uint64_t now_us);
 const lw_suspect_t *lw_quarantine_find(const lw_quarantine_t *q, const lw_fingerprint_t *print);
-bool lw_quarantine_awaits_body(const lw_quarantine_t *q, uint64_t head);
+bool lw_quarantine_needs_body(const lw_quarantine_t *q, uint64_t head);
 uint32_t lw_quarantine_held_ms(const lw_quarantine_t *q, const lw_fingerprint_t *print,
 			       uint64_t now_us);
-const lw_suspect_t *lw_quarantine_ended(lw_quarantine_t *q, const lw_fingerprint_t *print,
-					uint64_t process, bool tried, uint64_t now_us);
+const lw_suspect_t *lw_quarantine_server_crashed(lw_quarantine_t *q, const lw_fingerprint_t *print,
+						 uint64_t process, bool tried, uint64_t now_us);
 const lw_suspect_t *lw_quarantine_answered(lw_quarantine_t *q, const lw_fingerprint_t *print,
 					   uint64_t now_us);
-const lw_suspect_t *lw_quarantine_told(lw_quarantine_t *q, const lw_suspect_t *told,
-				       uint64_t now_us);
-bool lw_suspect_matters(const lw_suspect_t *s);
+const lw_suspect_t *lw_quarantine_merge(lw_quarantine_t *q, const lw_suspect_t *told,
+					uint64_t now_us);
+bool lw_suspect_is_restricted(const lw_suspect_t *s);
 size_t lw_quarantine_list(const lw_quarantine_t *q, const lw_suspect_t **out, size_t most);
 size_t lw_quarantine_count(const lw_quarantine_t *q);
 void lw_quarantine_expire(lw_quarantine_t *q, uint64_t now_us);
--- a/src/quotabucket.h
+++ b/src/quotabucket.h
@@ -13,30 +13,30 @@
 #include "quota.h"
 
 /* Steps of a keeper of which the demand is remembered. */
-#define LW_BUCKET_PAST 7
+#define LW_BUCKET_HISTORY 7
 
 /* one organisation at all nodes */
 typedef struct lw_bucket {
 	uint64_t org;
 	double rate_per_s;
 	double burst;
-	double level; /* requests that may be let in at once; below 0: a debt */
-	uint64_t level_us;
-	double fast; /* demand, per second */
-	double calm;
+	double tokens; /* requests that may be let in at once; below 0: a debt */
+	uint64_t tokens_us;
+	double demand_fast; /* demand, per second */
+	double demand_slow;
 	double shared; /* by which nodes know their parts */
-	double past[LW_BUCKET_PAST]; /* the same at the last steps of the keeper */
+	double past[LW_BUCKET_HISTORY]; /* the same at the last steps of the keeper */
 	uint64_t demand_us;
 	double reserved; /* part of the limit, for nodes that are not heard of */
-	double left; /* part of it for those that are */
-	bool in_force; /* the configuration has it */
+	double available; /* part of it for those that are */
+	bool configured; /* the configuration has it */
 	uint32_t permille; /* of its requests to let in, as last worked out */
 	UT_hash_handle hh;
 } lw_bucket_t;
 
-void lw_bucket_advance(lw_bucket_t *b, const lw_quotaterms_t *t, uint64_t now_us);
-double lw_bucket_rate(uint32_t asked, double memory_s, double covered_s);
-void lw_bucket_asked(lw_bucket_t *b, uint32_t asked, double covered_s);
-uint32_t lw_bucket_permille(const lw_bucket_t *b, const lw_quotaterms_t *t);
+void lw_bucket_advance(lw_bucket_t *b, const lw_quota_tolerance_t *t, uint64_t now_us);
+double lw_bucket_demand_rate(uint32_t asked, double memory_s, double covered_s);
+void lw_bucket_add_demand(lw_bucket_t *b, uint32_t asked, double covered_s);
+uint32_t lw_bucket_permille(const lw_bucket_t *b, const lw_quota_tolerance_t *t);
 
 #endif
--- a/src/quotachoice.c
+++ b/src/quotachoice.c
@@ -17,8 +17,8 @@
 }
 
 /* the first node of those that stay; not in the zone of @other, if there are others */
-static const lw_server_entry_t *first_beside(const lw_serverlist_t *sl,
-					     const lw_server_entry_t *other, bool other_zone)
+static const lw_server_entry_t *best_candidate(const lw_serverlist_t *sl,
+					       const lw_server_entry_t *other, bool other_zone)
 {
 	const lw_server_entry_t *best = NULL;
 
@@ -39,13 +39,13 @@
  * lw_quotachoice() - the addresses of the backend servers beside which the
  * keepers run, LW_QUOTA_KEEPERS at most, in different zones if there are.
  */
-uint32_t lw_quotachoice(const lw_serverlist_t *sl, char out[][LW_NAME_MAX])
+uint32_t lw_quotachoice_coordinators(const lw_serverlist_t *sl, char out[][LW_NAME_MAX])
 {
-	const lw_server_entry_t *first = first_beside(sl, NULL, false);
-	const lw_server_entry_t *second = first ? first_beside(sl, first, true) : NULL;
+	const lw_server_entry_t *first = best_candidate(sl, NULL, false);
+	const lw_server_entry_t *second = first ? best_candidate(sl, first, true) : NULL;
 
 	if (first && !second)
-		second = first_beside(sl, first, false);
+		second = best_candidate(sl, first, false);
 	if (first)
 		lw_str_copy(out[0], LW_NAME_MAX, lw_str_c(first->addr));
 	if (second)
--- a/src/quotachoice.h
+++ b/src/quotachoice.h
@@ -10,6 +10,6 @@
 #include "fleetconf.h"
 #include "quota.h"
 
-uint32_t lw_quotachoice(const lw_serverlist_t *sl, char out[][LW_NAME_MAX]);
+uint32_t lw_quotachoice_coordinators(const lw_serverlist_t *sl, char out[][LW_NAME_MAX]);
 
 #endif
--- a/src/quotakeeper.c
+++ b/src/quotacoord.c
@@ -1,5 +1,5 @@
 /* The keeper of limits; see quotakeeper.h. */
-#include "quotakeeper.h"
+#include "quotacoord.h"
 
 #include <math.h>
 #include <stdlib.h>
@@ -12,58 +12,58 @@
 /* a node not heard of for so long may be on its own, us */
 #define SILENT_US 600000
 /* and is gone after this: nothing stays reserved for it, us */
-#define GONE_US 10000000
+#define FORGET_US 10000000
 /* what is reserved is added up so often, us */
 #define RESERVE_STEP_US 100000
 /* which parts to let in is worked out so often, us */
-#define WORK_OUT_US 30000
+#define COMPUTE_US 30000
 /* the demand of so many organisations is told in turn, whoever reports */
-#define TOLD_IN_TURN 6
+#define ROUND_ROBIN_ORGS 6
 
 /* what one node was last asked for by one organisation */
-typedef struct lw_nodeuse {
+typedef struct lw_nodeusage {
 	uint64_t org;
 	double demand; /* per second, of late */
 	uint64_t at_us;
 	double part; /* of the limit, that is reserved while the node is silent */
 	UT_hash_handle hh;
-} lw_nodeuse_t;
+} lw_nodeusage_t;
 
 typedef struct lw_reporter {
 	uint64_t node; /* digest of its address */
 	uint64_t heard_us;
 	bool silent; /* its parts are reserved */
-	lw_nodeuse_t *uses;
+	lw_nodeusage_t *uses;
 	UT_hash_handle hh;
 } lw_reporter_t;
 
-struct lw_quotakeeper {
-	lw_quotaterms_t terms;
+struct lw_quotacoord {
+	lw_quota_tolerance_t terms;
 	lw_bucket_t *buckets;
 	lw_reporter_t *reporters;
 	uint32_t nodes; /* of the fleet */
-	uint32_t unheard; /* of these, that have not reported, or not for long */
+	uint32_t nsilent; /* of these, that have not reported, or not for long */
 	uint64_t reserved_us; /* when that was last added up */
 	uint64_t step; /* number of that */
 	lw_bucket_t **limited; /* those of which not all is let in, as last worked out */
 	size_t nlimited;
-	uint64_t worked_out_us;
-	lw_bucket_t *next_told; /* its demand is told next to whoever reports */
+	uint64_t computed_us;
+	lw_bucket_t *next_round_robin; /* its demand is told next to whoever reports */
 };
 
 /* lw_quotakeeper_new() - no node has reported yet. */
-lw_quotakeeper_t *lw_quotakeeper_new(const lw_quotaterms_t *terms, uint64_t now_us)
+lw_quotacoord_t *lw_quotacoord_new(const lw_quota_tolerance_t *terms, uint64_t now_us)
 {
-	lw_quotakeeper_t *k = xcalloc(1, sizeof(*k));
+	lw_quotacoord_t *k = xcalloc(1, sizeof(*k));
 
 	k->terms = *terms;
 	k->reserved_us = now_us;
 	return k;
 }
 
-static void free_reporter(lw_quotakeeper_t *k, lw_reporter_t *r)
+static void free_reporter(lw_quotacoord_t *k, lw_reporter_t *r)
 {
-	lw_nodeuse_t *u, *next;
+	lw_nodeusage_t *u, *next;
 
 	HASH_ITER(hh, r->uses, u, next)
 	{
@@ -75,7 +75,7 @@
 }
 
 /* lw_quotakeeper_free() - release it; NULL is fine. */
-void lw_quotakeeper_free(lw_quotakeeper_t *k)
+void lw_quotacoord_free(lw_quotacoord_t *k)
 {
 	lw_bucket_t *b, *nextb;
 	lw_reporter_t *r, *nextr;
@@ -94,18 +94,18 @@
 }
 
 /* lw_quotakeeper_set_terms() - the terms have changed. */
-void lw_quotakeeper_set_terms(lw_quotakeeper_t *k, const lw_quotaterms_t *terms)
+void lw_quotacoord_set_tolerance(lw_quotacoord_t *k, const lw_quota_tolerance_t *terms)
 {
 	k->terms = *terms;
 }
 
 /* lw_quotakeeper_set_nodes() - the fleet has so many nodes. */
-void lw_quotakeeper_set_nodes(lw_quotakeeper_t *k, uint32_t nodes)
+void lw_quotacoord_set_nodes(lw_quotacoord_t *k, uint32_t nodes)
 {
 	k->nodes = nodes;
 }
 
-static lw_bucket_t *bucket_find(const lw_quotakeeper_t *k, uint64_t org)
+static lw_bucket_t *bucket_find(const lw_quotacoord_t *k, uint64_t org)
 {
 	lw_bucket_t *b;
 
@@ -114,21 +114,21 @@
 }
 
 /* the part of a limit that is left for the nodes that are heard of */
-static double left_of(const lw_quotakeeper_t *k, const lw_bucket_t *b)
+static double available_share(const lw_quotacoord_t *k, const lw_bucket_t *b)
 {
-	double heard = k->nodes ? 1.0 - (double)k->unheard / k->nodes : 1.0;
+	double heard = k->nodes ? 1.0 - (double)k->nsilent / k->nodes : 1.0;
 
 	return heard > b->reserved ? heard - b->reserved : 0;
 }
 
-static lw_bucket_t *bucket_new(lw_quotakeeper_t *k, uint64_t org, uint64_t now_us)
+static lw_bucket_t *bucket_new(lw_quotacoord_t *k, uint64_t org, uint64_t now_us)
 {
 	lw_bucket_t *b = xcalloc(1, sizeof(*b));
 
 	b->org = org;
-	b->level_us = now_us;
+	b->tokens_us = now_us;
 	b->demand_us = now_us;
-	b->left = left_of(k, b);
+	b->available = available_share(k, b);
 	HASH_ADD(hh, k->buckets, org, sizeof(b->org), b);
 	return b;
 }
@@ -137,12 +137,12 @@
  * lw_quotakeeper_limits() - a configuration is in force. A new bucket is empty: what
  * was let in before this node became a keeper is not known.
  */
-void lw_quotakeeper_limits(lw_quotakeeper_t *k, const lw_orgs_t *orgs, uint64_t now_us)
+void lw_quotacoord_set_limits(lw_quotacoord_t *k, const lw_orgs_t *orgs, uint64_t now_us)
 {
 	lw_bucket_t *b, *next;
 
 	for (b = k->buckets; b; b = b->hh.next)
-		b->in_force = false;
+		b->configured = false;
 	for (size_t i = 0; i < lw_orgs_count(orgs); i++) {
 		const lw_organisation_t *org = lw_orgs_at(orgs, i);
 
@@ -152,13 +152,13 @@
 		if (!b)
 			b = bucket_new(k, org->id, now_us);
 		lw_bucket_advance(b, &k->terms, now_us);
-		b->in_force = true;
+		b->configured = true;
 		b->rate_per_s = org->rate_per_s;
 		b->burst = org->burst;
 	}
 	HASH_ITER(hh, k->buckets, b, next)
 	{
-		if (b->in_force)
+		if (b->configured)
 			continue;
 		HASH_DEL(k->buckets, b);
 		free(b);
@@ -166,11 +166,11 @@
 	free(k->limited);
 	k->limited = xcalloc(HASH_COUNT(k->buckets) + 1, sizeof(void *));
 	k->nlimited = 0;
-	k->worked_out_us = 0;
-	k->next_told = k->buckets;
+	k->computed_us = 0;
+	k->next_round_robin = k->buckets;
 }
 
-static lw_reporter_t *reporter_of(lw_quotakeeper_t *k, uint64_t node)
+static lw_reporter_t *reporter_of(lw_quotacoord_t *k, uint64_t node)
 {
 	lw_reporter_t *r;
 
@@ -195,10 +195,10 @@
 	return covered_s > SILENT_US / 1e6 ? admitted * (SILENT_US / 1e6) / covered_s : admitted;
 }
 
-static void count_node_use(lw_reporter_t *r, const lw_quota_use_t *use, double covered_s,
+static void count_node_use(lw_reporter_t *r, const lw_quota_usage_t *use, double covered_s,
 			   uint64_t now_us)
 {
-	lw_nodeuse_t *u;
+	lw_nodeusage_t *u;
 	double dt;
 
 	HASH_FIND(hh, r->uses, &use->org, sizeof(use->org), u);
@@ -208,8 +208,8 @@
 		HASH_ADD(hh, r->uses, org, sizeof(u->org), u);
 	}
 	dt = (double)(now_us - u->at_us) / 1e6;
-	u->demand = u->demand * exp(-dt / LW_QUOTA_SHARE_S) +
-		    lw_bucket_rate(use->asked, LW_QUOTA_SHARE_S, covered_s);
+	u->demand = u->demand * exp(-dt / LW_QUOTA_DEMAND_MEMORY_S) +
+		    lw_bucket_demand_rate(use->asked, LW_QUOTA_DEMAND_MEMORY_S, covered_s);
 	u->at_us = now_us;
 }
 
@@ -217,25 +217,25 @@
  * The parts of the limits that a node on its own keeps to: those of the demand when
  * it was last heard. Of the demand since, it knows nothing.
  */
-static void settle_parts(lw_quotakeeper_t *k, lw_reporter_t *r)
+static void fix_shares(lw_quotacoord_t *k, lw_reporter_t *r)
 {
-	for (lw_nodeuse_t *u = r->uses; u; u = u->hh.next) {
+	for (lw_nodeusage_t *u = r->uses; u; u = u->hh.next) {
 		const lw_bucket_t *b = bucket_find(k, u->org);
 		double age_s = (double)(r->heard_us - u->at_us) / 1e6;
-		double demand = u->demand * exp(-age_s / LW_QUOTA_SHARE_S);
+		double demand = u->demand * exp(-age_s / LW_QUOTA_DEMAND_MEMORY_S);
 
 		if (b)
-			u->part =
-				lw_quota_part(demand, b->past[k->step % LW_BUCKET_PAST], k->nodes);
+			u->part = lw_quota_share(demand, b->past[k->step % LW_BUCKET_HISTORY],
+						 k->nodes);
 	}
 	r->silent = true;
 }
 
-static void reserve_for(lw_quotakeeper_t *k, lw_reporter_t *r)
+static void reserve_for_node(lw_quotacoord_t *k, lw_reporter_t *r)
 {
 	if (!r->silent)
-		settle_parts(k, r);
-	for (const lw_nodeuse_t *u = r->uses; u; u = u->hh.next) {
+		fix_shares(k, r);
+	for (const lw_nodeusage_t *u = r->uses; u; u = u->hh.next) {
 		lw_bucket_t *b = bucket_find(k, u->org);
 
 		if (b)
@@ -244,7 +244,7 @@
 }
 
 /* add up what is reserved for nodes that are not heard of */
-static void reserve(lw_quotakeeper_t *k, uint64_t now_us)
+static void reserve(lw_quotacoord_t *k, uint64_t now_us)
 {
 	lw_reporter_t *r, *next;
 	uint32_t known = 0;
@@ -261,24 +261,24 @@
 	{
 		uint64_t silent_us = now_us - r->heard_us;
 
-		if (silent_us > GONE_US) {
+		if (silent_us > FORGET_US) {
 			free_reporter(k, r);
 			continue;
 		}
 		known++;
 		if (silent_us > SILENT_US)
-			reserve_for(k, r);
+			reserve_for_node(k, r);
 	}
-	k->unheard = k->nodes > known ? k->nodes - known : 0;
+	k->nsilent = k->nodes > known ? k->nodes - known : 0;
 	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
-		b->left = left_of(k, b);
-		b->past[k->step % LW_BUCKET_PAST] = b->shared;
+		b->available = available_share(k, b);
+		b->past[k->step % LW_BUCKET_HISTORY] = b->shared;
 	}
 }
 
 /* lw_quotakeeper_took() - the node with the digest @node reports what it was asked for and let in. */
-void lw_quotakeeper_took(lw_quotakeeper_t *k, uint64_t node, const lw_quota_use_t *uses, size_t n,
-			 uint64_t now_us)
+void lw_quotacoord_add_report(lw_quotacoord_t *k, uint64_t node, const lw_quota_usage_t *uses,
+			      size_t n, uint64_t now_us)
 {
 	lw_reporter_t *r = reporter_of(k, node);
 	double covered_s = r->heard_us ? (double)(now_us - r->heard_us) / 1e6 : 0;
@@ -292,18 +292,18 @@
 		if (!b)
 			continue;
 		lw_bucket_advance(b, &k->terms, now_us);
-		b->level -= charge_of(uses[i].admitted, covered_s);
-		lw_bucket_asked(b, uses[i].asked, covered_s);
+		b->tokens -= charge_of(uses[i].admitted, covered_s);
+		lw_bucket_add_demand(b, uses[i].asked, covered_s);
 		count_node_use(r, &uses[i], covered_s, now_us);
 	}
 }
 
 /* which organisations are limited now; of thousands, hardly any is */
-static void work_out(lw_quotakeeper_t *k, uint64_t now_us)
+static void compute_limited(lw_quotacoord_t *k, uint64_t now_us)
 {
-	if (now_us - k->worked_out_us < WORK_OUT_US)
+	if (now_us - k->computed_us < COMPUTE_US)
 		return;
-	k->worked_out_us = now_us;
+	k->computed_us = now_us;
 	k->nlimited = 0;
 	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
 		lw_bucket_advance(b, &k->terms, now_us);
@@ -313,21 +313,24 @@
 	}
 }
 
-static void tell(lw_bucket_t *b, bool with_demand, lw_quota_term_t *out, size_t *n, size_t most)
+static void add_grant(lw_bucket_t *b, bool with_demand, lw_quota_grant_t *out, size_t *n,
+		      size_t most)
 {
 	if (*n < most)
-		out[(*n)++] = (lw_quota_term_t){ b->org, b->permille, with_demand ? b->shared : 0 };
+		out[(*n)++] =
+			(lw_quota_grant_t){ b->org, b->permille, with_demand ? b->shared : 0 };
 }
 
 /* the demand of the next few organisations */
-static void tell_in_turn(lw_quotakeeper_t *k, lw_quota_term_t *out, size_t *n, size_t most)
+static void add_round_robin_grants(lw_quotacoord_t *k, lw_quota_grant_t *out, size_t *n,
+				   size_t most)
 {
-	for (int i = 0; i < TOLD_IN_TURN && k->next_told; i++) {
-		tell(k->next_told, true, out, n, most);
-		k->next_told = k->next_told->hh.next;
+	for (int i = 0; i < ROUND_ROBIN_ORGS && k->next_round_robin; i++) {
+		add_grant(k->next_round_robin, true, out, n, most);
+		k->next_round_robin = k->next_round_robin->hh.next;
 	}
-	if (!k->next_told)
-		k->next_told = k->buckets;
+	if (!k->next_round_robin)
+		k->next_round_robin = k->buckets;
 }
 
 /*
@@ -336,22 +339,22 @@
  * some others is told in turn: a node that is seldom asked by one would know its
  * part of an old demand only. One may be named twice, in the same words.
  */
-size_t lw_quotakeeper_terms(lw_quotakeeper_t *k, const lw_quota_use_t *uses, size_t n,
-			    lw_quota_term_t *out, size_t most, uint64_t now_us)
+size_t lw_quotacoord_grants(lw_quotacoord_t *k, const lw_quota_usage_t *uses, size_t n,
+			    lw_quota_grant_t *out, size_t most, uint64_t now_us)
 {
 	size_t told = 0;
 
 	if (!k->buckets)
 		return 0;
-	work_out(k, now_us);
+	compute_limited(k, now_us);
 	for (size_t i = 0; i < k->nlimited; i++)
-		tell(k->limited[i], false, out, &told, most);
+		add_grant(k->limited[i], false, out, &told, most);
 	for (size_t i = 0; i < n; i++) {
 		lw_bucket_t *b = bucket_find(k, uses[i].org);
 
 		if (b)
-			tell(b, true, out, &told, most);
+			add_grant(b, true, out, &told, most);
 	}
-	tell_in_turn(k, out, &told, most);
+	add_round_robin_grants(k, out, &told, most);
 	return told;
 }
--- a/src/quotawindow.c
+++ b/src/quotawindow.c
@@ -5,14 +5,14 @@
 
 static uint32_t *slice_at(lw_quotawindow_t *w, uint64_t number)
 {
-	return &w->count[number % LW_QUOTAWINDOW_KEPT];
+	return &w->count[number % LW_QUOTAWINDOW_COUNTERS];
 }
 
 static void advance(lw_quotawindow_t *w, double window_s, uint64_t now_us)
 {
 	uint64_t slice = (uint64_t)((double)now_us / (window_s * 1e6 / LW_QUOTAWINDOW_SLICES));
 
-	if (slice > w->newest + LW_QUOTAWINDOW_KEPT) {
+	if (slice > w->newest + LW_QUOTAWINDOW_COUNTERS) {
 		memset(w->count, 0, sizeof(w->count));
 		w->newest = slice;
 	}
@@ -30,10 +30,10 @@
 }
 
 /* lw_quotawindow_take_back() - one of late does not count after all. */
-void lw_quotawindow_take_back(lw_quotawindow_t *w, double window_s, uint64_t now_us)
+void lw_quotawindow_remove(lw_quotawindow_t *w, double window_s, uint64_t now_us)
 {
 	advance(w, window_s, now_us);
-	for (uint64_t i = 0; i < LW_QUOTAWINDOW_KEPT && i <= w->newest; i++) {
+	for (uint64_t i = 0; i < LW_QUOTAWINDOW_COUNTERS && i <= w->newest; i++) {
 		uint32_t *count = slice_at(w, w->newest - i);
 
 		if (!*count)
@@ -49,7 +49,7 @@
 	uint32_t sum = 0;
 
 	advance(w, window_s, now_us);
-	for (int i = 0; i < LW_QUOTAWINDOW_KEPT; i++)
+	for (int i = 0; i < LW_QUOTAWINDOW_COUNTERS; i++)
 		sum += w->count[i];
 	return sum;
 }
--- a/src/quotawindow.h
+++ b/src/quotawindow.h
@@ -5,17 +5,17 @@
 #include <stdint.h>
 
 /* Slices of a window, and the one that has just begun. */
-#define LW_QUOTAWINDOW_SLICES 10
-#define LW_QUOTAWINDOW_KEPT   (LW_QUOTAWINDOW_SLICES + 1)
+#define LW_QUOTAWINDOW_SLICES	10
+#define LW_QUOTAWINDOW_COUNTERS (LW_QUOTAWINDOW_SLICES + 1)
 
 /* Zeroed is empty. */
 typedef struct lw_quotawindow {
 	uint64_t newest; /* number of the newest slice */
-	uint32_t count[LW_QUOTAWINDOW_KEPT];
+	uint32_t count[LW_QUOTAWINDOW_COUNTERS];
 } lw_quotawindow_t;
 
 void lw_quotawindow_add(lw_quotawindow_t *w, double window_s, uint64_t now_us);
-void lw_quotawindow_take_back(lw_quotawindow_t *w, double window_s, uint64_t now_us);
+void lw_quotawindow_remove(lw_quotawindow_t *w, double window_s, uint64_t now_us);
 uint32_t lw_quotawindow_sum(lw_quotawindow_t *w, double window_s, uint64_t now_us);
 
 #endif
--- a/src/records.h
+++ b/src/records.h
@@ -24,7 +24,7 @@
 	LW_REC_NONE = 0, /* never seen, or forgotten */
 	LW_REC_RUNNING, /* queued or at the backend server now */
 	LW_REC_DONE, /* ran; the answer may have been dropped for room */
-	LW_REC_MAYBE, /* may have run: the backend server gave no answer */
+	LW_REC_UNCERTAIN, /* may have run: the backend server gave no answer */
 	LW_REC_REFUSED, /* never ran and never will: a later copy is refused */
 } lw_record_state_t;
 
--- a/src/revdoc.c
+++ b/src/revdoc.c
@@ -39,7 +39,7 @@
 /* lw_revdoc_free() - release all versions; there is none afterwards. */
 void lw_revdoc_free(lw_revdoc_t *d)
 {
-	for (size_t i = 0; i < LW_REVDOC_KEPT; i++)
+	for (size_t i = 0; i < LW_REVDOC_VERSIONS; i++)
 		version_free(&d->at[i]);
 	forget_encoded(d);
 }
@@ -77,8 +77,8 @@
 		d->at[0].version = version;
 		return false;
 	}
-	version_free(&d->at[LW_REVDOC_KEPT - 1]);
-	memmove(&d->at[1], &d->at[0], (LW_REVDOC_KEPT - 1) * sizeof(d->at[0]));
+	version_free(&d->at[LW_REVDOC_VERSIONS - 1]);
+	memmove(&d->at[1], &d->at[0], (LW_REVDOC_VERSIONS - 1) * sizeof(d->at[0]));
 	d->at[0] = (lw_revdoc_version_t){ .version = version, .hash = hash, .len = bytes.len };
 	d->at[0].bytes = xmalloc(bytes.len + 1);
 	memcpy(d->at[0].bytes, bytes.ptr, bytes.len);
@@ -88,7 +88,7 @@
 
 static const lw_revdoc_version_t *find_version(const lw_revdoc_t *d, uint64_t hash)
 {
-	for (size_t i = 0; hash && i < LW_REVDOC_KEPT; i++)
+	for (size_t i = 0; hash && i < LW_REVDOC_VERSIONS; i++)
 		if (d->at[i].hash == hash)
 			return &d->at[i];
 	return NULL;
--- a/src/revdoc.h
+++ b/src/revdoc.h
@@ -14,7 +14,7 @@
 #include "status.h"
 
 /* Versions that are kept: a node is rarely further behind. */
-#define LW_REVDOC_KEPT 4
+#define LW_REVDOC_VERSIONS 4
 /* Encoded forms that are kept, as many nodes ask for the same one. */
 #define LW_REVDOC_ENCODED 4
 /* Longest document, in bytes; a peer that declares more is not believed. */
@@ -38,7 +38,7 @@
 } lw_revdoc_encoded_t;
 
 typedef struct lw_revdoc {
-	lw_revdoc_version_t at[LW_REVDOC_KEPT]; /* the newest first */
+	lw_revdoc_version_t at[LW_REVDOC_VERSIONS]; /* the newest first */
 	lw_revdoc_encoded_t encoded[LW_REVDOC_ENCODED];
 	uint32_t next_encoded;
 } lw_revdoc_t;
--- a/src/serverset.c
+++ b/src/serverset.c
@@ -13,7 +13,7 @@
  * A server that lives has written its entry again within about two seconds of
  * the store's return; one missing after that is gone. Unit us.
  */
-#define RETURN_US 2100000
+#define REREGISTER_US 2100000
 /*
  * A failed call is no outage: entries lapse after several heartbeats only. A
  * server that left while one call failed would count for two seconds more on
@@ -40,15 +40,16 @@
 
 struct lw_serverset {
 	lw_member_t *members;
-	uint64_t away_us; /* since when the store does not answer; 0: it does */
-	uint64_t back_revision; /* of the store when it was back */
+	uint64_t unreachable_since_us; /* since when the store does not answer; 0: it does */
+	uint64_t reachable_revision; /* of the store when it was back */
 	uint64_t hold_until_us; /* missing entries still count until then */
 	bool restoring; /* what is read now came with a copy of the store */
 	uint64_t
 		unproven_until_us; /* unproven entries do not count until then; 0: there are none */
-	bool held; /* some entries are missing and still count */
+	bool any_missing; /* some entries are missing and still count */
 	bool changed;
-	lw_fleetconf_t *known; /* services that the configuration names; NULL: not told yet */
+	lw_fleetconf_t
+		*known_services; /* services that the configuration names; NULL: not told yet */
 };
 
 /* lw_serverset_new() - no entries. */
@@ -72,7 +73,7 @@
 	{
 		member_free(s, m);
 	}
-	lw_fleetconf_free(s->known);
+	lw_fleetconf_free(s->known_services);
 	free(s);
 }
 
@@ -81,12 +82,12 @@
  * entry of another writer with the address of a living server and a service
  * that does not exist would otherwise take that server's place.
  */
-void lw_serverset_know(lw_serverset_t *s, const lw_fleetconf_t *fc)
+void lw_serverset_set_services(lw_serverset_t *s, const lw_fleetconf_t *fc)
 {
-	lw_fleetconf_free(s->known);
-	s->known = lw_fleetconf_new();
+	lw_fleetconf_free(s->known_services);
+	s->known_services = lw_fleetconf_new();
 	for (size_t i = 0; i < fc->nservices; i++)
-		lw_fleetconf_add_service(s->known, lw_str_c(fc->services[i].name),
+		lw_fleetconf_add_service(s->known_services, lw_str_c(fc->services[i].name),
 					 lw_str_c(fc->services[i].health));
 	s->changed = true;
 }
@@ -95,8 +96,8 @@
 {
 	if (m->unproven)
 		return false;
-	return !s->known || !s->known->nservices ||
-	       lw_fleetconf_service(s->known, m->entry.service);
+	return !s->known_services || !s->known_services->nservices ||
+	       lw_fleetconf_service(s->known_services, m->entry.service);
 }
 
 /* a heartbeat rewrites the entry; only some of its parts matter */
@@ -160,29 +161,29 @@
 	HASH_FIND_STR(s->members, id, m);
 	if (!m || m->missing)
 		return;
-	if (revision > s->back_revision) {
+	if (revision > s->reachable_revision) {
 		member_free(s, m);
 		s->changed = true;
 		return;
 	}
 	m->missing = true;
-	s->held = true;
+	s->any_missing = true;
 }
 
 /* lw_serverset_begin() - every entry is read anew from here on. */
-void lw_serverset_begin(lw_serverset_t *s)
+void lw_serverset_begin_read(lw_serverset_t *s)
 {
 	for (lw_member_t *m = s->members; m; m = m->hh.next)
 		m->seen = false;
 }
 
 /* lw_serverset_end() - that read is complete: entries not in it are removed. */
-void lw_serverset_end(lw_serverset_t *s)
+void lw_serverset_end_read(lw_serverset_t *s)
 {
 	for (lw_member_t *m = s->members; m; m = m->hh.next)
 		if (!m->seen && !m->missing) {
 			m->missing = true;
-			s->held = true;
+			s->any_missing = true;
 		}
 }
 
@@ -190,7 +191,7 @@
  * lw_serverset_seed() - what was known is old: from now on it is what the fleet has
  * in use, drains included.
  */
-void lw_serverset_seed(lw_serverset_t *s, const lw_serverlist_t *in_use)
+void lw_serverset_replace(lw_serverset_t *s, const lw_serverlist_t *in_use)
 {
 	lw_member_t *m, *tmp;
 
@@ -204,11 +205,11 @@
 		m->entry.created = 0;
 		HASH_ADD_STR(s->members, entry.id, m);
 	}
-	s->held = false;
+	s->any_missing = false;
 }
 
 /* lw_serverset_restoring() - the store came back from an older copy, which is read now. */
-void lw_serverset_restoring(lw_serverset_t *s)
+void lw_serverset_begin_restore(lw_serverset_t *s)
 {
 	s->restoring = true;
 }
@@ -218,11 +219,11 @@
  * still counts while its servers may write it again; what it has and nobody knew
  * does not count before it is written again, or has stayed.
  */
-void lw_serverset_restored(lw_serverset_t *s, uint64_t now_us, uint64_t revision)
+void lw_serverset_end_restore(lw_serverset_t *s, uint64_t now_us, uint64_t revision)
 {
 	s->restoring = false;
-	s->hold_until_us = now_us + RETURN_US;
-	s->back_revision = revision;
+	s->hold_until_us = now_us + REREGISTER_US;
+	s->reachable_revision = revision;
 	s->unproven_until_us = now_us + UNPROVEN_US;
 }
 
@@ -233,9 +234,9 @@
  */
 void lw_serverset_resume(lw_serverset_t *s)
 {
-	s->away_us = 0;
+	s->unreachable_since_us = 0;
 	s->hold_until_us = 0;
-	s->back_revision = 0;
+	s->reachable_revision = 0;
 }
 
 /*
@@ -243,23 +244,23 @@
  * anybody at @last_us, as far as known. A node that begins to read in an
  * outage sees only its end.
  */
-void lw_serverset_store_away(lw_serverset_t *s, uint64_t last_us)
+void lw_serverset_store_unreachable(lw_serverset_t *s, uint64_t last_us)
 {
-	if (!s->away_us)
-		s->away_us = last_us;
+	if (!s->unreachable_since_us)
+		s->unreachable_since_us = last_us;
 }
 
 /* lw_serverset_store_back() - the store answers, at @revision; it may have been away. */
-void lw_serverset_store_back(lw_serverset_t *s, uint64_t now_us, uint64_t revision)
+void lw_serverset_store_reachable(lw_serverset_t *s, uint64_t now_us, uint64_t revision)
 {
-	if (s->away_us && now_us - s->away_us >= OUTAGE_MIN_US) {
-		s->hold_until_us = now_us + RETURN_US;
-		s->back_revision = revision;
+	if (s->unreachable_since_us && now_us - s->unreachable_since_us >= OUTAGE_MIN_US) {
+		s->hold_until_us = now_us + REREGISTER_US;
+		s->reachable_revision = revision;
 	}
-	s->away_us = 0;
+	s->unreachable_since_us = 0;
 }
 
-static void drop_missing(lw_serverset_t *s)
+static void remove_missing(lw_serverset_t *s)
 {
 	lw_member_t *m, *tmp;
 
@@ -270,10 +271,10 @@
 			s->changed = true;
 		}
 	}
-	s->held = false;
+	s->any_missing = false;
 }
 
-static void take_unproven(lw_serverset_t *s)
+static void accept_unproven(lw_serverset_t *s)
 {
 	for (lw_member_t *m = s->members; m; m = m->hh.next) {
 		s->changed |= m->unproven;
@@ -326,15 +327,15 @@
  * lw_serverset_changed() - the servers that count as there, if that differs
  * from the last list returned; else NULL. The caller owns the list.
  */
-lw_serverlist_t *lw_serverset_changed(lw_serverset_t *s, uint64_t now_us)
+lw_serverlist_t *lw_serverset_take_changes(lw_serverset_t *s, uint64_t now_us)
 {
 	lw_serverlist_t *sl;
 	lw_member_t *newest, *m, *tmp;
 
-	if (s->held && now_us >= s->hold_until_us)
-		drop_missing(s);
+	if (s->any_missing && now_us >= s->hold_until_us)
+		remove_missing(s);
 	if (s->unproven_until_us && now_us >= s->unproven_until_us)
-		take_unproven(s);
+		accept_unproven(s);
 	if (!s->changed)
 		return NULL;
 	s->changed = false;
--- a/src/serverset.h
+++ b/src/serverset.h
@@ -18,18 +18,18 @@
 
 lw_serverset_t *lw_serverset_new(void);
 void lw_serverset_free(lw_serverset_t *s);
-void lw_serverset_know(lw_serverset_t *s, const lw_fleetconf_t *fc);
+void lw_serverset_set_services(lw_serverset_t *s, const lw_fleetconf_t *fc);
 void lw_serverset_put(lw_serverset_t *s, const lw_server_entry_t *e);
 void lw_serverset_remove(lw_serverset_t *s, const char *id, uint64_t revision);
-void lw_serverset_begin(lw_serverset_t *s);
-void lw_serverset_end(lw_serverset_t *s);
-void lw_serverset_seed(lw_serverset_t *s, const lw_serverlist_t *in_use);
-void lw_serverset_restoring(lw_serverset_t *s);
-void lw_serverset_restored(lw_serverset_t *s, uint64_t now_us, uint64_t revision);
+void lw_serverset_begin_read(lw_serverset_t *s);
+void lw_serverset_end_read(lw_serverset_t *s);
+void lw_serverset_replace(lw_serverset_t *s, const lw_serverlist_t *in_use);
+void lw_serverset_begin_restore(lw_serverset_t *s);
+void lw_serverset_end_restore(lw_serverset_t *s, uint64_t now_us, uint64_t revision);
 void lw_serverset_resume(lw_serverset_t *s);
-void lw_serverset_store_away(lw_serverset_t *s, uint64_t last_us);
-void lw_serverset_store_back(lw_serverset_t *s, uint64_t now_us, uint64_t revision);
+void lw_serverset_store_unreachable(lw_serverset_t *s, uint64_t last_us);
+void lw_serverset_store_reachable(lw_serverset_t *s, uint64_t now_us, uint64_t revision);
 bool lw_serverset_empty(const lw_serverset_t *s);
-lw_serverlist_t *lw_serverset_changed(lw_serverset_t *s, uint64_t now_us);
+lw_serverlist_t *lw_serverset_take_changes(lw_serverset_t *s, uint64_t now_us);
 
 #endif
--- a/tests/decide_lease.c
+++ b/tests/decide_lease.c
@@ -7,9 +7,9 @@
 static void do_lease(world_t *w, const words_t *a)
 {
 	if (strcmp(word(a, 1), "found") == 0)
-		lw_lease_found(&w->lease);
+		lw_lease_entry_found(&w->lease);
 	else
-		lw_lease_missing(&w->lease, ms(a, 2));
+		lw_lease_entry_missing(&w->lease, ms(a, 2));
 }
 
 /* step NOW read AT failed AT healthy AT [leaving] [pending]: what the node beside the server knows */
@@ -17,8 +17,8 @@
 {
 	lw_lease_evidence_t ev = {
 		.now_us = ms(a, 1),
-		.read_us = ms(a, 3),
-		.failed_us = ms(a, 5),
+		.store_read_us = ms(a, 3),
+		.store_failed_us = ms(a, 5),
 		.healthy_us = ms(a, 7),
 		.leaving = has(a, "leaving"),
 		.pending = has(a, "pending"),
@@ -27,7 +27,7 @@
 	lw_lease_step(&w->lease, &ev);
 	say(w, "%s by %s%s%s", lw_lease_state_name(w->lease.state),
 	    lw_lease_cause_name(w->lease.cause), lw_lease_in_use(&w->lease) ? ", in use" : "",
-	    lw_lease_vouches(&w->lease, &ev) ? ", vouched" : "");
+	    lw_lease_asserts_liveness(&w->lease, &ev) ? ", vouched" : "");
 }
 
 const command_t decide_lease_commands[] = {
--- a/tests/decide_place.c
+++ b/tests/decide_place.c
@@ -38,25 +38,25 @@
 
 static void do_store_back(world_t *w, const words_t *a)
 {
-	lw_serverset_store_back(w->entries, ms(a, 1), (uint64_t)num(a, 2));
+	lw_serverset_store_reachable(w->entries, ms(a, 1), (uint64_t)num(a, 2));
 }
 
 static void do_store_away(world_t *w, const words_t *a)
 {
-	lw_serverset_store_away(w->entries, ms(a, 1));
+	lw_serverset_store_unreachable(w->entries, ms(a, 1));
 }
 
 /* restoring: the store is back from a copy, which is read now | restored AT ERA REVISION */
 static void do_restoring(world_t *w, const words_t *a)
 {
 	(void)a;
-	lw_serverset_restoring(w->entries);
+	lw_serverset_begin_restore(w->entries);
 }
 
 static void do_restored(world_t *w, const words_t *a)
 {
-	lw_serverset_restored(w->entries, ms(a, 1),
-			      lw_storepos((uint32_t)num(a, 2), (uint64_t)num(a, 3)));
+	lw_serverset_end_restore(w->entries, ms(a, 1),
+				 lw_storepos((uint32_t)num(a, 2), (uint64_t)num(a, 3)));
 }
 
 /* seed ID SERVICE ADDR ZONE SLOTS CREATED ...: one server is in use, and no other is known */
@@ -64,7 +64,7 @@
 {
 	lw_server_entry_t e = entry_of(a);
 
-	lw_serverset_seed(w->entries, &(lw_serverlist_t){ .servers = &e, .nservers = 1 });
+	lw_serverset_replace(w->entries, &(lw_serverlist_t){ .servers = &e, .nservers = 1 });
 }
 
 /* places ERA REVISION ERA REVISION: whether the second one is later in the store's history */
@@ -89,16 +89,16 @@
 
 	for (int i = 1; i < a->n; i++)
 		lw_fleetconf_add_service(fc, lw_str_c(word(a, i)), LW_STR(""));
-	lw_serverset_know(w->entries, fc);
+	lw_serverset_set_services(w->entries, fc);
 	lw_fleetconf_free(fc);
 }
 
 static void do_reread(world_t *w, const words_t *a)
 {
 	if (strcmp(word(a, 1), "begin") == 0)
-		lw_serverset_begin(w->entries);
+		lw_serverset_begin_read(w->entries);
 	else
-		lw_serverset_end(w->entries);
+		lw_serverset_end_read(w->entries);
 }
 
 static int by_id(const void *x, const void *y)
@@ -108,7 +108,7 @@
 
 static void do_entry_list(world_t *w, const words_t *a)
 {
-	lw_serverlist_t *sl = lw_serverset_changed(w->entries, ms(a, 1));
+	lw_serverlist_t *sl = lw_serverset_take_changes(w->entries, ms(a, 1));
 
 	if (!sl) {
 		say(w, "unchanged");
@@ -150,11 +150,11 @@
 static lw_notice_t notice_of(const words_t *a)
 {
 	if (has(a, "takes"))
-		return (lw_notice_t){ lw_notice_server(word(a, 1)), 0, false, true,
+		return (lw_notice_t){ lw_notice_server_digest(word(a, 1)), 0, false, true,
 				      atof(word(a, a->n - 1)) };
 	for (int i = 7; i + 3 < a->n; i++)
 		if (strcmp(word(a, i), "leaves") == 0)
-			return (lw_notice_t){ lw_notice_server(word(a, i + 1)),
+			return (lw_notice_t){ lw_notice_server_digest(word(a, i + 1)),
 					      (uint64_t)num(a, i + 3), true, false, 0 };
 	return (lw_notice_t){ 0 };
 }
--- a/tests/decide_quarantine.c
+++ b/tests/decide_quarantine.c
@@ -15,7 +15,7 @@
 static void say_known(world_t *w, const lw_suspect_t *s)
 {
 	if (s)
-		say(w, "ends %u trials %u", s->nends, s->trials);
+		say(w, "ends %u trials %u", s->ncrashes, s->trials);
 	else
 		say(w, "nothing to tell");
 }
@@ -25,8 +25,8 @@
 {
 	lw_fingerprint_t p = print_of(a, 1);
 
-	say_known(w, lw_quarantine_ended(w->quarantine, &p, (uint64_t)num(a, 2), has(a, "tried"),
-					 ms(a, 3)));
+	say_known(w, lw_quarantine_server_crashed(w->quarantine, &p, (uint64_t)num(a, 2),
+						  has(a, "tried"), ms(a, 3)));
 }
 
 /* answered REQUEST AT */
@@ -45,12 +45,12 @@
 	if (has(a, "cleared")) {
 		s.cleared_us = ms(a, 3);
 	} else {
-		s.ended_us = ms(a, 3);
-		s.end[s.nends++] = (uint64_t)num(a, 5);
+		s.last_crash_us = ms(a, 3);
+		s.end[s.ncrashes++] = (uint64_t)num(a, 5);
 		s.trials = (uint32_t)num(a, 7);
 		s.held_until_us = ms(a, 9);
 	}
-	say_known(w, lw_quarantine_told(w->quarantine, &s, ms(a, a->n - 1)));
+	say_known(w, lw_quarantine_merge(w->quarantine, &s, ms(a, a->n - 1)));
 }
 
 /* verdict-on REQUEST AT */
@@ -73,7 +73,8 @@
 
 	for (long i = 0; i < num(a, 1); i++) {
 		p.whole = (uint64_t)i + 1000;
-		lw_quarantine_ended(w->quarantine, &p, (uint64_t)num(a, 2), false, ms(a, 3));
+		lw_quarantine_server_crashed(w->quarantine, &p, (uint64_t)num(a, 2), false,
+					     ms(a, 3));
 	}
 	say(w, "%zu matter", lw_quarantine_count(w->quarantine));
 }
--- a/tests/test_lease.c
+++ b/tests/test_lease.c
@@ -19,18 +19,18 @@
 /* the store's part, ms */
 #define LAPSE_MS  1000 /* from the last heartbeat; shorter than real, to search less */
 #define RETURN_MS 1500 /* from the end of a cut until the entry is written again */
-#define NEWS_MS	  700 /* longest time between two reads of the store by a reader */
+#define UPDATE_MS 700 /* longest time between two reads of the store by a reader */
 /* the promises, ms */
 #define DRAIN_MS  2000 /* a server that leaves may get work so much longer */
 #define IDLE_MS	  1000 /* a living server that can be reached goes unused so long at most */
 #define MARGIN_MS 450 /* as in proxynews.c */
 
-typedef enum event { CUT, HEAL, LEAVE, DRAIN, CRASH, REBORN, REUSE, EVENT_COUNT } event_t;
+typedef enum event { CUT, HEAL, LEAVE, DRAIN, CRASH, RESTART, ADDRESS_REUSED, EVENT_COUNT } event_t;
 
-typedef struct happening {
+typedef struct fault {
 	event_t what;
 	long at_ms;
-} happening_t;
+} fault_t;
 
 /* one run: the world, the node beside the server, and the node that sends */
 typedef struct run {
@@ -41,8 +41,8 @@
 	long acked_at; /* when the store has known of the departure; -1: it does not */
 	bool entry, entry_draining;
 	uint64_t entry_born;
-	long news_delay; /* from a change in the store until both nodes hear of it */
-	long heard_at; /* the list as it was then is what they have */
+	long update_delay; /* from a change in the store until both nodes hear of it */
+	long update_at; /* the list as it was then is what they have */
 	bool listed, listed_other, listed_draining;
 	uint64_t listed_born;
 	lw_lease_t lease;
@@ -61,7 +61,7 @@
 	return (uint64_t)(ms + 1000000) * 1000;
 }
 
-static bool may_happen(const run_t *r, event_t e)
+static bool may_inject(const run_t *r, event_t e)
 {
 	switch (e) {
 	case CUT:
@@ -72,14 +72,14 @@
 	case DRAIN:
 	case CRASH:
 		return r->alive && !r->leaving;
-	case REBORN:
+	case RESTART:
 		return !r->alive && !r->other;
 	default:
 		return !r->other && (!r->alive || r->leaving);
 	}
 }
 
-static void happen(run_t *r, event_t e)
+static void inject(run_t *r, event_t e)
 {
 	switch (e) {
 	case CUT:
@@ -103,7 +103,7 @@
 		r->alive = false;
 		r->died_at = r->now;
 		break;
-	case REBORN:
+	case RESTART:
 		r->alive = true;
 		r->leaving = false;
 		r->born++;
@@ -145,7 +145,7 @@
 {
 	lw_server_entry_t e[2];
 	lw_serverlist_t sl = { .servers = e };
-	long read_before = r->now - r->news_delay - NEWS_MS;
+	long read_before = r->now - r->update_delay - UPDATE_MS;
 
 	memset(e, 0, sizeof(e));
 	if (r->listed) {
@@ -174,29 +174,29 @@
 }
 
 /* both nodes hear of the store's list after the delay */
-static void step_news(run_t *r)
+static void step_updates(run_t *r)
 {
 	bool same = r->listed == r->entry && r->listed_other == r->other &&
 		    r->listed_draining == r->entry_draining && r->listed_born == r->entry_born;
 
 	if (same) {
-		r->heard_at = -1;
+		r->update_at = -1;
 		return;
 	}
-	if (r->heard_at < 0)
-		r->heard_at = r->now + r->news_delay;
-	if (r->now < r->heard_at)
+	if (r->update_at < 0)
+		r->update_at = r->now + r->update_delay;
+	if (r->now < r->update_at)
 		return;
-	r->heard_at = -1;
+	r->update_at = -1;
 	r->listed = r->entry;
 	r->listed_other = r->other;
 	r->listed_draining = r->entry_draining;
 	r->listed_born = r->entry_born;
 	list_to_place(r);
 	if (r->listed && !r->listed_other) {
-		lw_lease_found(&r->lease);
+		lw_lease_entry_found(&r->lease);
 	} else if (r->lease.state == LW_LEASE_HELD && !r->listed_draining) {
-		lw_lease_missing(&r->lease, us(r->now));
+		lw_lease_entry_missing(&r->lease, us(r->now));
 		r->readable = !r->cut;
 		/* the server is asked at once */
 		r->ev.healthy_us = r->alive && !r->leaving ? us(r->now) : 0;
@@ -212,19 +212,19 @@
 		return;
 	r->ev.now_us = us(r->now);
 	if (r->cut)
-		r->ev.failed_us = us(r->now);
+		r->ev.store_failed_us = us(r->now);
 	else
-		r->ev.read_us = us(r->now);
+		r->ev.store_read_us = us(r->now);
 	if (round && r->alive && !r->leaving && r->born == r->listed_born)
 		r->ev.healthy_us = us(r->now);
 	else if (round && !(r->alive && !r->leaving))
 		r->ev.leaving = true;
 	lw_lease_step(&r->lease, &r->ev);
-	if (round && lw_lease_vouches(&r->lease, &r->ev))
+	if (round && lw_lease_asserts_liveness(&r->lease, &r->ev))
 		lw_place_vouched(&r->place, "10.0.0.1:7000", "i", r->listed_born, us(r->now));
 }
 
-static bool is_used(run_t *r)
+static bool receives_work(run_t *r)
 {
 	lw_place_tried_t none = { .n = 0 };
 	lw_place_ask_t ask = { us(r->now), 0, 1 };
@@ -233,18 +233,18 @@
 	return gate_open && lw_place_pick(lw_place_service(&r->place, "s"), &none, &ask);
 }
 
-static void violated(const run_t *r, const char *promise, const happening_t *h, int n)
+static void report_violation(const run_t *r, const char *promise, const fault_t *h, int n)
 {
 	if (violations++ > 5)
 		return;
 	fprintf(stderr, "  %s at %ld ms, lease %s, news after %ld ms:", promise, r->now,
-		lw_lease_state_name(r->lease.state), r->news_delay);
+		lw_lease_state_name(r->lease.state), r->update_delay);
 	for (int i = 0; i < n; i++)
 		fprintf(stderr, " %d at %ld", h[i].what, h[i].at_ms);
 	fprintf(stderr, "\n");
 }
 
-static void check_promises(run_t *r, const happening_t *h, int n)
+static void check_guarantees(run_t *r, const fault_t *h, int n)
 {
 	/*
 	 * A node that reads the store when it hears that the entry is missing sees
@@ -254,16 +254,16 @@
 		      r->born == r->listed_born;
 
 	if (r->used && r->leaving && r->acked_at >= 0 && r->now > r->acked_at + DRAIN_MS)
-		violated(r, "work after the drain time", h, n);
+		report_violation(r, "work after the drain time", h, n);
 	if (r->used && r->listed_other)
-		violated(r, "work to another service's address", h, n);
+		report_violation(r, "work to another service's address", h, n);
 	if (r->used || !lapsed)
 		r->unused_since = r->now;
 	if (r->now - r->unused_since > IDLE_MS)
-		violated(r, "a living server goes unused", h, n);
+		report_violation(r, "a living server goes unused", h, n);
 }
 
-static void play(const happening_t *h, int n, long news_delay)
+static void play(const fault_t *h, int n, long update_delay)
 {
 	run_t r = { .alive = true,
 		    .born = 1,
@@ -271,8 +271,8 @@
 		    .died_at = -1,
 		    .left_at = -1,
 		    .acked_at = -1,
-		    .heard_at = -1,
-		    .news_delay = news_delay,
+		    .update_at = -1,
+		    .update_delay = update_delay,
 		    .listed_born = 1,
 		    .entry_born = 1,
 		    .entry = true,
@@ -280,20 +280,20 @@
 	int next = 0;
 
 	lw_place_init(&r.place, "z", "10.0.0.9:80", 7000, (lw_retryterms_t){ 0.2, 47, 10 });
-	lw_lease_found(&r.lease);
+	lw_lease_entry_found(&r.lease);
 	list_to_place(&r);
 	for (int i = 0; i < STEPS; i++) {
 		r.now = (long)i * STEP_MS;
 		while (next < n && h[next].at_ms <= r.now) {
-			if (!may_happen(&r, h[next].what))
+			if (!may_inject(&r, h[next].what))
 				goto out;
-			happen(&r, h[next++].what);
+			inject(&r, h[next++].what);
 		}
 		step_store(&r);
-		step_news(&r);
+		step_updates(&r);
 		step_node(&r);
-		r.used = is_used(&r);
-		check_promises(&r, h, n);
+		r.used = receives_work(&r);
+		check_guarantees(&r, h, n);
 		states++;
 	}
 	runs++;
@@ -301,24 +301,24 @@
 	lw_place_free(&r.place);
 }
 
-static void search(happening_t *h, int n)
+static void search(fault_t *h, int n)
 {
 	long from = n ? h[n - 1].at_ms : 500;
 
-	for (long delay = 0; delay <= NEWS_MS; delay += NEWS_MS)
+	for (long delay = 0; delay <= UPDATE_MS; delay += UPDATE_MS)
 		play(h, n, delay);
 	if (n == EVENTS)
 		return;
 	for (long at = from; at <= 5000; at += EVENT_MS)
 		for (int e = 0; e < EVENT_COUNT; e++) {
-			h[n] = (happening_t){ (event_t)e, at };
+			h[n] = (fault_t){ (event_t)e, at };
 			search(h, n + 1);
 		}
 }
 
 static void test_search(void)
 {
-	happening_t h[EVENTS];
+	fault_t h[EVENTS];
 
 	search(h, 0);
 	printf("\n    lease: %llu runs, %llu states, %llu promises broken ",
--- a/tests/test_notice.c
+++ b/tests/test_notice.c
@@ -10,28 +10,29 @@
 #define ADDR  "10.0.0.1:80"
 #define DEPTH 6
 
-static lw_notice_said_t said_by(const char *head)
+static lw_notice_fields_t fields_of(const char *head)
 {
-	lw_notice_said_t said = { 0 };
+	lw_notice_fields_t said = { 0 };
 
-	lw_notice_in_head(&said, lw_str_c(head), &lw_platform_names);
+	lw_notice_parse_head(&said, lw_str_c(head), &lw_platform_names);
 	return said;
 }
 
 static void test_leaving_in_head(void)
 {
-	CU_ASSERT(said_by("HTTP/1.1 200 X\r\nA: 1\r\nserver-leaving:\t1 \r\nB: 2\r\n").leaving);
-	CU_ASSERT(said_by("HTTP/1.1 200 X\r\nServer-Leaving: 0\r\nServer-Leaving: 1\r\n").leaving);
-	CU_ASSERT_FALSE(said_by("HTTP/1.1 200 X\r\nServer-Leaving: 0\r\n").leaving);
-	CU_ASSERT_FALSE(said_by("HTTP/1.1 200 X\r\nServer-Leaving:\r\n").leaving);
-	CU_ASSERT_FALSE(said_by("HTTP/1.1 200 X\r\nX-Server-Leaving: 1\r\n").leaving);
-	CU_ASSERT_FALSE(said_by("HTTP/1.1 200 Server-Leaving: 1\r\n").leaving);
-	CU_ASSERT_FALSE(said_by("").leaving);
-	CU_ASSERT_FALSE(said_by("HTTP/1.1 200 X\r\nServer-Leaving").leaving);
+	CU_ASSERT(fields_of("HTTP/1.1 200 X\r\nA: 1\r\nserver-leaving:\t1 \r\nB: 2\r\n").leaving);
+	CU_ASSERT(
+		fields_of("HTTP/1.1 200 X\r\nServer-Leaving: 0\r\nServer-Leaving: 1\r\n").leaving);
+	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 X\r\nServer-Leaving: 0\r\n").leaving);
+	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 X\r\nServer-Leaving:\r\n").leaving);
+	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 X\r\nX-Server-Leaving: 1\r\n").leaving);
+	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 Server-Leaving: 1\r\n").leaving);
+	CU_ASSERT_FALSE(fields_of("").leaving);
+	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 X\r\nServer-Leaving").leaving);
 }
 
 /* What may happen to a host that is used, in any order and any number of times. */
-typedef enum lw_happens {
+typedef enum lw_place_event {
 	ANSWER_LEAVING, /* an answer that says so is passed on */
 	ANSWER_PLAIN, /* one that does not: an older one, late */
 	NODE_LEAVING, /* the node beside it says so */
@@ -40,8 +41,8 @@
 	LIST_READY, /* the entry says ready, as in a copy of the store */
 	LIST_WITHOUT, /* the entry has lapsed */
 	NODE_LOST,
-	HAPPENS_COUNT
-} lw_happens_t;
+	PLACE_EVENTS
+} lw_place_event_t;
 
 static void apply_list(lw_place_t *p, uint64_t born_ms, uint64_t now_us)
 {
@@ -62,19 +63,19 @@
 	return lw_place_pick(lw_place_service(p, "s"), &tried, &ask);
 }
 
-static lw_load_t load_of(lw_happens_t what)
+static lw_load_t load_of(lw_place_event_t what)
 {
 	lw_load_t load = { .limit = 9 };
 
 	if (what == NODE_LEAVING)
-		load.notice = (lw_notice_t){ lw_notice_server("i-1"), 1000, true, false, 0 };
+		load.notice = (lw_notice_t){ lw_notice_server_digest("i-1"), 1000, true, false, 0 };
 	if (what == NODE_OTHER)
-		load.notice = (lw_notice_t){ lw_notice_server("i-1"), 900, true, false, 0 };
+		load.notice = (lw_notice_t){ lw_notice_server_digest("i-1"), 900, true, false, 0 };
 	return load;
 }
 
 /* true once the node is bound by what it passed on */
-static bool happen(lw_place_t *p, lw_place_host_t *h, lw_happens_t what, uint64_t now_us)
+static bool apply_event(lw_place_t *p, lw_place_host_t *h, lw_place_event_t what, uint64_t now_us)
 {
 	lw_load_t load = load_of(what);
 
@@ -112,9 +113,9 @@
 	apply_list(&p, 1000, now_us);
 	h = picked(&p, now_us);
 	h->refs++; /* a request of this node is under way there */
-	for (int i = 0; i < DEPTH; i++, run /= HAPPENS_COUNT) {
+	for (int i = 0; i < DEPTH; i++, run /= PLACE_EVENTS) {
 		now_us += 200000;
-		bound |= happen(&p, h, (lw_happens_t)(run % HAPPENS_COUNT), now_us);
+		bound |= apply_event(&p, h, (lw_place_event_t)(run % PLACE_EVENTS), now_us);
 		good &= !bound || !picked(&p, now_us);
 	}
 	apply_list(&p, 2000, now_us);
@@ -129,7 +130,7 @@
 	uint32_t runs = 1, bad = 0;
 
 	for (int i = 0; i < DEPTH; i++)
-		runs *= HAPPENS_COUNT;
+		runs *= PLACE_EVENTS;
 	for (uint32_t run = 0; run < runs; run++)
 		bad += !play(run);
 	CU_ASSERT_EQUAL(bad, 0);
@@ -141,35 +142,35 @@
 					    "inf", "1.",  ".5",	   "1.2.3", "+3",   " " };
 	char head[600], digits[401];
 
-	CU_ASSERT(said_by("HTTP/1.1 200 X\r\nServer-Limit: 15.7\r\n").limited);
-	CU_ASSERT_DOUBLE_EQUAL(said_by("H\r\nserver-limit:15.7\r\n").limit_per_s, 15.7, 1e-9);
-	CU_ASSERT(said_by("H\r\nServer-Limit: 0\r\n").limited);
+	CU_ASSERT(fields_of("HTTP/1.1 200 X\r\nServer-Limit: 15.7\r\n").limited);
+	CU_ASSERT_DOUBLE_EQUAL(fields_of("H\r\nserver-limit:15.7\r\n").limit_per_s, 15.7, 1e-9);
+	CU_ASSERT(fields_of("H\r\nServer-Limit: 0\r\n").limited);
 	for (size_t i = 0; i < sizeof(none) / sizeof(none[0]); i++) {
 		snprintf(head, sizeof(head), "H\r\nServer-Limit: %s\r\n", none[i]);
-		CU_ASSERT_FALSE(said_by(head).limited);
-		CU_ASSERT(said_by(head).limit_invalid);
+		CU_ASSERT_FALSE(fields_of(head).limited);
+		CU_ASSERT(fields_of(head).limit_invalid);
 	}
 	memset(digits, '9', 400);
 	digits[400] = '\0';
 	snprintf(head, sizeof(head), "H\r\nServer-Limit: %s\r\n", digits);
-	CU_ASSERT(said_by(head).limit_invalid);
-	CU_ASSERT_FALSE(said_by("H\r\nServer-Limit: 1\r\nServer-Limit: 2\r\n").limited);
-	CU_ASSERT_FALSE(
-		said_by("H\r\nServer-Limit: 1\r\nServer-Limit: 2\r\nServer-Limit: 3\r\n").limited);
-	CU_ASSERT_FALSE(said_by("H\r\nA: 1\r\n").limit_invalid);
+	CU_ASSERT(fields_of(head).limit_invalid);
+	CU_ASSERT_FALSE(fields_of("H\r\nServer-Limit: 1\r\nServer-Limit: 2\r\n").limited);
+	CU_ASSERT_FALSE(fields_of("H\r\nServer-Limit: 1\r\nServer-Limit: 2\r\nServer-Limit: 3\r\n")
+				.limited);
+	CU_ASSERT_FALSE(fields_of("H\r\nA: 1\r\n").limit_invalid);
 }
 
 /* requests of a run: the first ones are sent together, the others after as many answers */
 #define ASKED	 5
 #define TOGETHER 3
 /* none, a lower and a higher limit */
-#define WORDS 3
+#define LIMITS 3
 
-static lw_notice_said_t word(uint32_t number)
+static lw_notice_fields_t fields_with_limit(uint32_t number)
 {
-	static const double limits[WORDS] = { 0, 5, 8 };
+	static const double limits[LIMITS] = { 0, 5, 8 };
 
-	return (lw_notice_said_t){ .limited = number > 0, .limit_per_s = limits[number] };
+	return (lw_notice_fields_t){ .limited = number > 0, .limit_per_s = limits[number] };
 }
 
 /* the @k-th order in which @n answers may come */
@@ -194,15 +195,15 @@
 }
 
 /* whether an older word raised the limit over a newer one, or the last word does not count */
-static bool play_limits(uint32_t words, uint32_t order)
+static bool play_limits(uint32_t limits_played, uint32_t order)
 {
 	uint32_t said[ASKED], at[ASKED];
 	lw_notice_limit_t l = { 0 };
-	lw_notice_said_t w;
+	lw_notice_fields_t w;
 	uint32_t newest = 0;
 
-	for (int i = 0; i < ASKED; i++, words /= WORDS)
-		said[i] = words % WORDS;
+	for (int i = 0; i < ASKED; i++, limits_played /= LIMITS)
+		said[i] = limits_played % LIMITS;
 	order_of(order, ASKED, at);
 	for (uint32_t i = 0; i < ASKED; i++) {
 		uint32_t n = at[i];
@@ -211,16 +212,16 @@
 
 		if (sent > i)
 			return true; /* cannot be: answered before it was sent */
-		w = word(said[n]);
+		w = fields_with_limit(said[n]);
 		/* an answer comes a microsecond after what it allows to be sent */
-		lw_notice_limit_hear(&l, &w, 10 * sent + 5, 10 * (i + 1));
+		lw_notice_limit_from_response(&l, &w, 10 * sent + 5, 10 * (i + 1));
 		if (bound(&l) > before && n < newest && said[newest] > 0 &&
-		    bound(&l) > word(said[newest]).limit_per_s)
+		    bound(&l) > fields_with_limit(said[newest]).limit_per_s)
 			return false;
 		newest = n > newest ? n : newest;
 	}
-	w = word(said[ASKED - 1]);
-	lw_notice_limit_hear(&l, &w, 10 * ASKED + 5, 10 * ASKED + 20);
+	w = fields_with_limit(said[ASKED - 1]);
+	lw_notice_limit_from_response(&l, &w, 10 * ASKED + 5, 10 * ASKED + 20);
 	return l.on == w.limited && l.per_s == w.limit_per_s;
 }
 
@@ -229,9 +230,9 @@
 {
 	uint32_t bad = 0;
 
-	for (uint32_t words = 0; words < 243; words++)
+	for (uint32_t limits_played = 0; limits_played < 243; limits_played++)
 		for (uint32_t order = 0; order < 120; order++)
-			bad += !play_limits(words, order);
+			bad += !play_limits(limits_played, order);
 	CU_ASSERT_EQUAL(bad, 0);
 }
 
@@ -239,15 +240,15 @@
 static void test_limit_told_by_others(void)
 {
 	lw_notice_limit_t l = { 0 };
-	lw_notice_said_t none = { 0 };
+	lw_notice_fields_t none = { 0 };
 
-	CU_ASSERT(lw_notice_limit_told(&l, 8));
-	CU_ASSERT(lw_notice_limit_told(&l, 5));
-	CU_ASSERT_FALSE(lw_notice_limit_told(&l, 9));
+	CU_ASSERT(lw_notice_limit_from_peer(&l, 8));
+	CU_ASSERT(lw_notice_limit_from_peer(&l, 5));
+	CU_ASSERT_FALSE(lw_notice_limit_from_peer(&l, 9));
 	CU_ASSERT_DOUBLE_EQUAL(l.per_s, 5, 1e-9);
-	CU_ASSERT(lw_notice_limit_hear(&l, &none, 10, 20));
+	CU_ASSERT(lw_notice_limit_from_response(&l, &none, 10, 20));
 	CU_ASSERT_FALSE(l.on);
-	CU_ASSERT_FALSE(lw_notice_limit_told(&l, 5));
+	CU_ASSERT_FALSE(lw_notice_limit_from_peer(&l, 5));
 }
 
 /* arrivals of the last seconds, by a tenth of a second */
--- a/tests/test_organisation.c
+++ b/tests/test_organisation.c
@@ -163,13 +163,14 @@
 		{ "Authorization: Bearer k1\r\n", LW_CREDENTIAL_KEY, "k1" },
 		{ "authorization: bearer   k1\r\n", LW_CREDENTIAL_KEY, "k1" },
 		{ "Authorization: Bearer k1 k2\r\n", LW_CREDENTIAL_KEY, "k1 k2" },
-		{ "Authorization: Basic k1\r\n", LW_CREDENTIAL_OTHER, "" },
-		{ "Authorization: Bearer\r\n", LW_CREDENTIAL_OTHER, "" },
-		{ "Authorization: Bearerk1\r\n", LW_CREDENTIAL_OTHER, "" },
-		{ "Authorization: \r\n", LW_CREDENTIAL_OTHER, "" },
-		{ "Authorization: Bearer k1\r\nAuthorization: Bearer k1\r\n", LW_CREDENTIAL_TWICE,
+		{ "Authorization: Basic k1\r\n", LW_CREDENTIAL_UNSUPPORTED, "" },
+		{ "Authorization: Bearer\r\n", LW_CREDENTIAL_UNSUPPORTED, "" },
+		{ "Authorization: Bearerk1\r\n", LW_CREDENTIAL_UNSUPPORTED, "" },
+		{ "Authorization: \r\n", LW_CREDENTIAL_UNSUPPORTED, "" },
+		{ "Authorization: Bearer k1\r\nAuthorization: Bearer k1\r\n",
+		  LW_CREDENTIAL_DUPLICATE, NULL },
+		{ "Authorization: \r\nAuthorization: Bearer k1\r\n", LW_CREDENTIAL_DUPLICATE,
 		  NULL },
-		{ "Authorization: \r\nAuthorization: Bearer k1\r\n", LW_CREDENTIAL_TWICE, NULL },
 	};
 	char key[64];
 
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -8,27 +8,27 @@
 #include "lwtest.h"
 #include "quarantine.h"
 
-#define NODES	  4
-#define RUNS	  3000
-#define STEPS	  160
-#define STEP_US	  50000
-#define WORDS_MAX 256 /* under way */
+#define NODES	    4
+#define RUNS	    3000
+#define STEPS	    160
+#define STEP_US	    50000
+#define REPORTS_MAX 256 /* under way */
 /* the promises: servers that a request ends in one run while all word arrives */
-#define ENDS_MOST 8
+#define CRASHES_MAX 8
 
-typedef struct word_under_way {
+typedef struct report_in_flight {
 	lw_suspect_t what;
 	int to;
-} word_under_way_t;
+} report_in_flight_t;
 
 typedef struct search {
 	lw_quarantine_t *node[NODES];
-	word_under_way_t word[WORDS_MAX];
-	size_t nwords;
+	report_in_flight_t reports[REPORTS_MAX];
+	size_t nreports;
 	uint64_t now_us, process, rng;
-	uint32_t bad_ends;
+	uint32_t bad_crashes;
 	bool loses, restarts;
-	bool good_tried_at_an_end; /* only then may it be held */
+	bool good_tried_at_a_crash; /* only then may it be held */
 } search_t;
 
 static const lw_fingerprint_t bad = { 1, 1 }, good = { 1, 2 };
@@ -39,65 +39,69 @@
 	return (uint32_t)(s->rng >> 33) % below;
 }
 
-static void send_word(search_t *s, const lw_suspect_t *what, int from)
+static void send_report(search_t *s, const lw_suspect_t *what, int from)
 {
 	for (int to = 0; to < NODES; to++) {
-		if (to == from || s->nwords == WORDS_MAX || (s->loses && draw(s, 5) == 0))
+		if (to == from || s->nreports == REPORTS_MAX || (s->loses && draw(s, 5) == 0))
 			continue;
-		s->word[s->nwords++] = (word_under_way_t){ *what, to };
+		s->reports[s->nreports++] = (report_in_flight_t){ *what, to };
 	}
 }
 
 /* one word arrives, any of those under way; now and then it stays to come again */
 static void deliver(search_t *s)
 {
-	size_t i = draw(s, (uint32_t)s->nwords);
-	word_under_way_t w = s->word[i];
-	const lw_suspect_t *news;
+	size_t i = draw(s, (uint32_t)s->nreports);
+	report_in_flight_t w = s->reports[i];
+	const lw_suspect_t *update;
 
 	if (draw(s, 8))
-		s->word[i] = s->word[--s->nwords];
-	news = lw_quarantine_told(s->node[w.to], &w.what, s->now_us);
-	if (news)
-		send_word(s, news, w.to);
+		s->reports[i] = s->reports[--s->nreports];
+	update = lw_quarantine_merge(s->node[w.to], &w.what, s->now_us);
+	if (update)
+		send_report(s, update, w.to);
 }
 
 /* a server ends beside @n with both requests in hand, or the bad one alone */
-static void end_server(search_t *s, int n, bool tried, bool good_in_hand, bool good_tried)
+static void crash_server(search_t *s, int n, bool tried, bool good_in_flight, bool good_tried)
 {
 	s->process++;
-	s->bad_ends++;
-	send_word(s, lw_quarantine_ended(s->node[n], &bad, s->process, tried, s->now_us), n);
-	if (!good_in_hand)
+	s->bad_crashes++;
+	send_report(s, lw_quarantine_server_crashed(s->node[n], &bad, s->process, tried, s->now_us),
+		    n);
+	if (!good_in_flight)
 		return;
-	s->good_tried_at_an_end |= good_tried;
-	send_word(s, lw_quarantine_ended(s->node[n], &good, s->process, good_tried, s->now_us), n);
+	s->good_tried_at_a_crash |= good_tried;
+	send_report(
+		s,
+		lw_quarantine_server_crashed(s->node[n], &good, s->process, good_tried, s->now_us),
+		n);
 }
 
-static void come_bad(search_t *s, int n)
+static void request_bad(search_t *s, int n)
 {
 	lw_quarantine_verdict_t good_now = lw_quarantine_verdict(s->node[n], &good, s->now_us);
 	lw_quarantine_verdict_t v = lw_quarantine_verdict(s->node[n], &bad, s->now_us);
-	bool in_hand = good_now != LW_QUARANTINE_HELD && draw(s, 3) == 0;
+	bool in_flight = good_now != LW_QUARANTINE_HELD && draw(s, 3) == 0;
 
 	if (v != LW_QUARANTINE_HELD)
-		end_server(s, n, v == LW_QUARANTINE_TRIAL, in_hand,
-			   good_now == LW_QUARANTINE_TRIAL);
+		crash_server(s, n, v == LW_QUARANTINE_TRIAL, in_flight,
+			     good_now == LW_QUARANTINE_TRIAL);
 }
 
-static void come_good(search_t *s, int n)
+static void request_good(search_t *s, int n)
 {
-	const lw_suspect_t *news;
+	const lw_suspect_t *update;
 
 	if (lw_quarantine_verdict(s->node[n], &good, s->now_us) == LW_QUARANTINE_HELD)
 		return;
-	news = lw_quarantine_answered(s->node[n], &good, s->now_us);
-	if (news)
-		send_word(s, news, n);
+	update = lw_quarantine_answered(s->node[n], &good, s->now_us);
+	if (update)
+		send_report(s, update, n);
 }
 
 /* a node begins anew and is greeted by another */
-static void begin_anew(search_t *s, int n)
+static void restart_node(search_t *s, int n)
 {
 	const lw_suspect_t *list[8];
 	size_t known;
@@ -106,7 +110,7 @@
 	s->node[n] = lw_quarantine_new();
 	known = lw_quarantine_list(s->node[(n + 1) % NODES], list, 8);
 	for (size_t i = 0; i < known; i++)
-		lw_quarantine_told(s->node[n], list[i], s->now_us);
+		lw_quarantine_merge(s->node[n], list[i], s->now_us);
 }
 
 static void step(search_t *s)
@@ -116,26 +120,26 @@
 	s->now_us += STEP_US;
 	switch (draw(s, 4)) {
 	case 0:
-		come_bad(s, n);
+		request_bad(s, n);
 		break;
 	case 1:
-		come_good(s, n);
+		request_good(s, n);
 		break;
 	case 2:
 		if (s->restarts && draw(s, 10) == 0)
-			begin_anew(s, n);
+			restart_node(s, n);
 		break;
 	default:
 		lw_quarantine_expire(s->node[n], s->now_us);
 		break;
 	}
-	for (uint32_t i = draw(s, 12); i && s->nwords; i--)
+	for (uint32_t i = draw(s, 12); i && s->nreports; i--)
 		deliver(s);
 }
 
 static void deliver_all(search_t *s)
 {
-	for (int i = 0; i < 20000 && s->nwords; i++)
+	for (int i = 0; i < 20000 && s->nreports; i++)
 		deliver(s);
 }
 
@@ -147,7 +151,7 @@
 		s.node[n] = lw_quarantine_new();
 	for (int i = 0; i < STEPS; i++) {
 		step(&s);
-		if (!s.good_tried_at_an_end)
+		if (!s.good_tried_at_a_crash)
 			for (int n = 0; n < NODES; n++)
 				CU_ASSERT_FATAL(lw_quarantine_verdict(s.node[n], &good, s.now_us) !=
 						LW_QUARANTINE_HELD);
@@ -160,34 +164,34 @@
 				lw_quarantine_verdict(s.node[0], &good, s.now_us));
 	}
 	if (!loses && !restarts)
-		CU_ASSERT_TRUE(s.bad_ends <= ENDS_MOST);
+		CU_ASSERT_TRUE(s.bad_crashes <= CRASHES_MAX);
 	for (int n = 0; n < NODES; n++)
 		lw_quarantine_free(s.node[n]);
 }
 
-static void all_word_arrives(void)
+static void all_reports_arrive(void)
 {
 	for (uint64_t seed = 1; seed <= RUNS; seed++)
 		run(seed, false, false);
 }
 
-static void word_is_lost_and_nodes_begin_anew(void)
+static void reports_are_lost_and_nodes_restart(void)
 {
 	for (uint64_t seed = 1; seed <= RUNS; seed++)
 		run(seed, true, seed % 2);
 }
 
 /* a node tells of trials without a server that ended: nobody may look for one */
-static void word_that_makes_no_sense(void)
+static void inconsistent_report(void)
 {
 	lw_quarantine_t *q = lw_quarantine_new();
-	lw_suspect_t told = { .print = bad, .trials = 3, .ended_us = 5, .held_until_us = 10 };
+	lw_suspect_t told = { .print = bad, .trials = 3, .last_crash_us = 5, .held_until_us = 10 };
 
-	lw_quarantine_told(q, &told, 6);
+	lw_quarantine_merge(q, &told, 6);
 	CU_ASSERT_EQUAL(lw_quarantine_verdict(q, &bad, 7), LW_QUARANTINE_HELD);
 	CU_ASSERT_EQUAL(lw_quarantine_verdict(q, &bad, 11), LW_QUARANTINE_TRIAL);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(lw_quarantine_find(q, &bad));
-	CU_ASSERT_EQUAL(lw_quarantine_find(q, &bad)->nends, 0);
+	CU_ASSERT_EQUAL(lw_quarantine_find(q, &bad)->ncrashes, 0);
 	lw_quarantine_free(q);
 }
 
@@ -196,7 +200,7 @@
 {
 	CU_pSuite s = CU_add_suite("quarantine", NULL, NULL);
 
-	CU_add_test(s, "all word arrives, in any order", all_word_arrives);
-	CU_add_test(s, "word that makes no sense", word_that_makes_no_sense);
-	CU_add_test(s, "word is lost and nodes begin anew", word_is_lost_and_nodes_begin_anew);
+	CU_add_test(s, "all word arrives, in any order", all_reports_arrive);
+	CU_add_test(s, "word that makes no sense", inconsistent_report);
+	CU_add_test(s, "word is lost and nodes begin anew", reports_are_lost_and_nodes_restart);
 }
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #include "lwtest.h"
-#include "quotakeeper.h"
+#include "quotacoord.h"
 
 #define STEP_US	     10000
 #define NODES_MAX    81
@@ -25,18 +25,18 @@
 	uint32_t node, keeper, number;
 	bool answer;
 	size_t n;
-	lw_quota_use_t uses[USES_MAX];
-	lw_quota_term_t terms[USES_MAX];
+	lw_quota_usage_t uses[USES_MAX];
+	lw_quota_grant_t terms[USES_MAX];
 } message_t;
 
 typedef struct fleet {
 	uint32_t nodes;
 	lw_orgs_t *orgs;
 	lw_quota_t *quota[NODES_MAX];
-	lw_quotakeeper_t *keeper[LW_QUOTA_KEEPERS];
-	uint32_t number[NODES_MAX][LW_QUOTA_KEEPERS];
+	lw_quotacoord_t *keeper[LW_QUOTA_COORDINATORS];
+	uint32_t number[NODES_MAX][LW_QUOTA_COORDINATORS];
 	bool cut[NODES_MAX]; /* from both keepers */
-	bool dead[LW_QUOTA_KEEPERS];
+	bool dead[LW_QUOTA_COORDINATORS];
 	uint32_t loss_percent;
 	uint64_t latency_us;
 	message_t *messages;
@@ -50,7 +50,7 @@
 	uint32_t step;
 } fleet_t;
 
-static const lw_quotaterms_t terms = { .window_s = 5, .overage = 0.25, .slack = 20 };
+static const lw_quota_tolerance_t terms = { .window_s = 5, .overage = 0.25, .slack = 20 };
 
 static double draw(fleet_t *f)
 {
@@ -84,8 +84,8 @@
 		org->burst = limits[i];
 	}
 	CU_ASSERT_EQUAL(lw_orgs_seal(f->orgs), LW_OK);
-	for (uint32_t k = 0; k < LW_QUOTA_KEEPERS; k++)
-		lw_quotakeeper_limits(f->keeper[k], f->orgs, f->now_us);
+	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++)
+		lw_quotacoord_set_limits(f->keeper[k], f->orgs, f->now_us);
 }
 
 static fleet_t *fleet_new(uint32_t nodes, const double *limits, size_t n, uint64_t seed)
@@ -102,9 +102,9 @@
 		f->quota[i] = lw_quota_new(&terms, seed * 1000 + i);
 		lw_quota_set_nodes(f->quota[i], nodes);
 	}
-	for (uint32_t k = 0; k < LW_QUOTA_KEEPERS; k++) {
-		f->keeper[k] = lw_quotakeeper_new(&terms, f->now_us);
-		lw_quotakeeper_set_nodes(f->keeper[k], nodes);
+	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++) {
+		f->keeper[k] = lw_quotacoord_new(&terms, f->now_us);
+		lw_quotacoord_set_nodes(f->keeper[k], nodes);
 	}
 	set_limits(f, limits, n);
 	return f;
@@ -114,8 +114,8 @@
 {
 	for (uint32_t i = 0; i < f->nodes; i++)
 		lw_quota_free(f->quota[i]);
-	for (uint32_t k = 0; k < LW_QUOTA_KEEPERS; k++)
-		lw_quotakeeper_free(f->keeper[k]);
+	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++)
+		lw_quotacoord_free(f->keeper[k]);
 	lw_orgs_free(f->orgs);
 	free(f->messages);
 	free(f);
@@ -139,11 +139,12 @@
 		return;
 	if (m->answer) {
 		if (m->number == f->number[m->node][m->keeper])
-			lw_quota_told(f->quota[m->node], m->keeper, m->terms, m->n, f->now_us);
+			lw_quota_apply_grants(f->quota[m->node], m->keeper, m->terms, m->n,
+					      f->now_us);
 		return;
 	}
-	lw_quotakeeper_took(f->keeper[m->keeper], m->node + 1, m->uses, m->n, f->now_us);
-	m->n = lw_quotakeeper_terms(f->keeper[m->keeper], m->uses, m->n, m->terms, USES_MAX,
+	lw_quotacoord_add_report(f->keeper[m->keeper], m->node + 1, m->uses, m->n, f->now_us);
+	m->n = lw_quotacoord_grants(f->keeper[m->keeper], m->uses, m->n, m->terms, USES_MAX,
 				    f->now_us);
 	m->answer = true;
 	put(f, m);
@@ -167,10 +168,10 @@
 
 static void report(fleet_t *f, uint32_t node)
 {
-	for (uint32_t k = 0; k < LW_QUOTA_KEEPERS; k++) {
+	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++) {
 		message_t m = { .node = node, .keeper = k };
 
-		if (!lw_quota_due(f->quota[node], k, f->now_us))
+		if (!lw_quota_report_due(f->quota[node], k, f->now_us))
 			continue;
 		m.n = lw_quota_report(f->quota[node], k, f->now_us, m.uses, USES_MAX);
 		m.number = ++f->number[node][k];
@@ -185,9 +186,9 @@
 	for (uint32_t i = 0; i < n; i++) {
 		uint32_t node =
 			f->only_node < f->nodes ? f->only_node : (uint32_t)(draw(f) * f->nodes);
-		lw_quota_verdict_t v;
+		lw_quota_decision_t v;
 
-		lw_quota_take(f->quota[node], lw_orgs_at(f->orgs, org), f->now_us, &v);
+		lw_quota_admit(f->quota[node], lw_orgs_at(f->orgs, org), f->now_us, &v);
 		f->asked[org][f->step]++;
 		f->admitted[org][f->step] += v.admitted;
 	}
@@ -396,15 +397,15 @@
 
 		set_rates(f, 7.5);
 		for (int round = 0; round < 4; round++) {
-			uint32_t k = round % LW_QUOTA_KEEPERS;
+			uint32_t k = round % LW_QUOTA_COORDINATORS;
 
 			play(f, 3);
 			f->dead[k] = true;
 			play(f, 1.5);
-			lw_quotakeeper_free(f->keeper[k]);
-			f->keeper[k] = lw_quotakeeper_new(&terms, f->now_us);
-			lw_quotakeeper_set_nodes(f->keeper[k], f->nodes);
-			lw_quotakeeper_limits(f->keeper[k], f->orgs, f->now_us);
+			lw_quotacoord_free(f->keeper[k]);
+			f->keeper[k] = lw_quotacoord_new(&terms, f->now_us);
+			lw_quotacoord_set_nodes(f->keeper[k], f->nodes);
+			lw_quotacoord_set_limits(f->keeper[k], f->orgs, f->now_us);
 			f->dead[k] = false;
 		}
 		for (uint32_t i = 0; i < NSIZES; i++) {
@@ -437,7 +438,7 @@
 		fleet_t *f = fleet_new(27 + (uint32_t)(seed % 3) * 27, sizes, NSIZES, seed);
 
 		for (int round = 0; round < 8; round++) {
-			uint32_t k = (uint32_t)(draw(f) * LW_QUOTA_KEEPERS);
+			uint32_t k = (uint32_t)(draw(f) * LW_QUOTA_COORDINATORS);
 
 			f->loss_percent = draw(f) < 0.3 ? 20 : 0;
 			f->only_node = draw(f) < 0.2 ? (uint32_t)(draw(f) * f->nodes) : f->nodes;
--- a/tools/orgbench.c
+++ b/tools/orgbench.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 
 #include "linux/clock.h"
-#include "quotakeeper.h"
+#include "quotacoord.h"
 
 #define ORGS	  10000
 #define KEYS_EACH 10
@@ -55,9 +55,9 @@
 	printf("lookup_of_a_key %.3f us\n", (double)(lw_now_us() - begin) / ROUNDS);
 	begin = lw_now_us();
 	for (uint32_t i = 0; i < ROUNDS; i++) {
-		lw_quota_verdict_t v;
+		lw_quota_decision_t v;
 
-		lw_quota_take(q, lw_orgs_by_key(o, lw_str_c(keys[i % 1024])), begin + i, &v);
+		lw_quota_admit(q, lw_orgs_by_key(o, lw_str_c(keys[i % 1024])), begin + i, &v);
 		let_in += v.admitted;
 	}
 	printf("lookup_and_limit %.3f us\n", (double)(lw_now_us() - begin) / ROUNDS);
@@ -67,27 +67,27 @@
 
 static void measure_keeper(const lw_orgs_t *o)
 {
-	static lw_quota_term_t terms[4096];
-	lw_quotaterms_t t = { 5, 0.25, 20 };
+	static lw_quota_grant_t terms[4096];
+	lw_quota_tolerance_t t = { 5, 0.25, 20 };
 	uint64_t now = 1000000, begin;
-	lw_quotakeeper_t *k = lw_quotakeeper_new(&t, now);
+	lw_quotacoord_t *k = lw_quotacoord_new(&t, now);
 
-	lw_quotakeeper_set_nodes(k, 81);
-	lw_quotakeeper_limits(k, o, now);
+	lw_quotacoord_set_nodes(k, 81);
+	lw_quotacoord_set_limits(k, o, now);
 	begin = lw_now_us();
 	for (uint32_t i = 0; i < REPORTS / 10; i++) {
-		lw_quota_use_t uses[4];
+		lw_quota_usage_t uses[4];
 
 		for (uint32_t j = 0; j < 4; j++)
-			uses[j] = (lw_quota_use_t){ lw_orgs_at(o, (i * 31 + j * 7) % ORGS)->id, 1,
+			uses[j] = (lw_quota_usage_t){ lw_orgs_at(o, (i * 31 + j * 7) % ORGS)->id, 1,
 						    1 };
 		now += 1000;
-		lw_quotakeeper_took(k, 1 + i % 81, uses, 4, now);
-		lw_quotakeeper_terms(k, uses, 4, terms, 4096, now);
+		lw_quotacoord_add_report(k, 1 + i % 81, uses, 4, now);
+		lw_quotacoord_grants(k, uses, 4, terms, 4096, now);
 	}
 	printf("keeper_per_report_at_%u_organisations %.1f us\n", ORGS,
 	       (double)(lw_now_us() - begin) / (REPORTS / 10));
-	lw_quotakeeper_free(k);
+	lw_quotacoord_free(k);
 }
 
 int main(void)
@@ -95,7 +95,7 @@
 	size_t before = mallinfo2().uordblks + mallinfo2().hblkhd;
 	uint64_t begin = lw_now_us();
 	lw_orgs_t *o = build();
-	lw_quotaterms_t t = { 5, 0.25, 20 };
+	lw_quota_tolerance_t t = { 5, 0.25, 20 };
 	lw_quota_t *q = lw_quota_new(&t, 1);
 
 	printf("configuration_of_%u_keys %.1f ms\n", ORGS * KEYS_EACH,
