--- a/src/lease.c
+++ b/src/lease.c
@@ -1,24 +1,28 @@
-/* The lease of the backend server on this host; see lease.h. */
+/* Lease state of the backend server on this host; see lease.h. */
 #include "lease.h"
 
 /*
- * Evidence of a cut comes within this, or there is none: a failing call to the
- * store shows after LW_LEASE_PENDING_US, the server answers in milliseconds, us.
+ * Longest wait for evidence that the store is unreachable: a failing call shows after
+ * LW_LEASE_PENDING_US and the server answers in milliseconds, us.
  */
 #define EVIDENCE_WAIT_US 1200000
-/* a server is asked twice a second; two answers may be missed, us */
+/* the server is queried twice a second; two missed answers are tolerated, us */
 #define HEALTH_VALID_US 1600000
-/* a failure of the store this long before the entry was missed belongs to it, us */
+/*
+ * A failed call to the store counts if it came at most this long before the entry was
+ * missed, us.
+ */
 #define FAILURE_LOOKBACK_US 2000000
 /*
- * A living server writes its entry again within about two seconds of reaching
- * the store; one that left in the meantime must be without work by then, us.
+ * A live server re-registers within about two seconds of reaching the store. A server that
+ * left in the meantime must get no more work by then, us.
  */
 #define REREGISTER_US 1800000
 /*
- * An entry that was found missing this long before the store was read again, or
- * less, may as well be that of a server that left: it is gone so long after it
- * was missed. News of it takes 0.75 s; the rest is left of the drain time, us.
+ * If the store is read again within EVIDENCE_WAIT_US after the entry was missed, the entry
+ * may equally be that of a server that left. The server then counts as gone this long
+ * after its entry was missed: the store update takes 0.75 s to arrive, and this is what
+ * remains of the drain time, us.
  */
 #define SHORT_OUTAGE_US 1000000
 
@@ -29,13 +33,16 @@
 	return true;
 }
 
-/* lw_lease_found() - the entry is in the newest list. */
+/* lw_lease_entry_found() - the entry is in the newest server list. */
 void lw_lease_entry_found(lw_lease_t *l)
 {
 	*l = (lw_lease_t){ .state = LW_LEASE_HELD, .cause = LW_LEASE_CAUSE_LIST };
 }
 
-/* lw_lease_missing() - the entry is not in the newest list and was before. */
+/*
+ * lw_lease_entry_missing() - the entry was in the previous server list and is not in the
+ * newest one.
+ */
 void lw_lease_entry_missing(lw_lease_t *l, uint64_t now_us)
 {
 	if (l->state != LW_LEASE_HELD)
@@ -50,7 +57,7 @@
 	return ev->store_failed_us && ev->store_failed_us + FAILURE_LOOKBACK_US > l->lapsed_us;
 }
 
-/* the last call to the store failed lately, or is about to */
+/* the last call to the store failed recently, or is about to fail */
 static bool store_unreachable(const lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
 	return ev->pending ||
@@ -83,14 +90,17 @@
 {
 	if (ev->store_read_us <= l->lapsed_us || store_unreachable(l, ev))
 		return false;
-	/* no call failed: the answer was only slow, and shows that the entry is missing */
+	/*
+	 * No call failed: the store was only slow, and its answer shows that the entry is
+	 * missing.
+	 */
 	if (!store_failed_recently(l, ev))
 		return set_gone(l, LW_LEASE_CAUSE_STORE);
 	l->returned_us = ev->now_us;
 	return set_state(l, LW_LEASE_RETURNING, LW_LEASE_CAUSE_STORE);
 }
 
-/* until when the entry may come back */
+/* until when the server may re-register */
 static uint64_t reregister_deadline_us(const lw_lease_t *l)
 {
 	if (l->returned_us - l->lapsed_us < EVIDENCE_WAIT_US)
@@ -109,7 +119,7 @@
 	return false;
 }
 
-/* without certainty, evidence that came late still counts */
+/* as long as it is not certain that the server left, late evidence still counts */
 static bool step_gone(lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
 	if (!l->server_left && store_unreachable(l, ev) && server_is_healthy(ev))
@@ -117,7 +127,7 @@
 	return false;
 }
 
-/* lw_lease_step() - take @ev into account; true if the state changed. */
+/* lw_lease_step() - advance the state with the evidence @ev; true if the state changed. */
 bool lw_lease_step(lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
 	if (l->state == LW_LEASE_HELD)
@@ -137,20 +147,23 @@
 	}
 }
 
-/* lw_lease_in_use() - whether the server on this host may have new work. */
+/* lw_lease_in_use() - whether the server on this host may be given new requests. */
 bool lw_lease_in_use(const lw_lease_t *l)
 {
 	return l->state != LW_LEASE_GONE;
 }
 
-/* lw_lease_vouches() - whether other nodes may be told to use the server on. */
+/*
+ * lw_lease_asserts_liveness() - whether this node may tell other nodes that its server,
+ * whose entry is missing, is alive and can still be used.
+ */
 bool lw_lease_asserts_liveness(const lw_lease_t *l, const lw_lease_evidence_t *ev)
 {
 	return (l->state == LW_LEASE_CUT || l->state == LW_LEASE_RETURNING) &&
 	       server_is_healthy(ev);
 }
 
-/* lw_lease_state_name() - for the log and the status page. */
+/* lw_lease_state_name() - name of a state in the log and on the status page. */
 const char *lw_lease_state_name(lw_lease_state_t s)
 {
 	static const char *const names[LW_LEASE_STATES] = { "held", "lapsed", "cut", "returning",
@@ -159,7 +172,7 @@
 	return s < LW_LEASE_STATES ? names[s] : "unknown";
 }
 
-/* lw_lease_cause_name() - for the log. */
+/* lw_lease_cause_name() - name of a cause in the log. */
 const char *lw_lease_cause_name(lw_lease_cause_t c)
 {
 	static const char *const names[] = { "list", "server", "store", "time" };
--- a/src/lease.h
+++ b/src/lease.h
@@ -1,12 +1,12 @@
 /*
- * The lease of the backend server on this host: its entry in the store, which
- * lapses when its heartbeats do not arrive. Failure it guards against: hosts
- * are cut off from the store, the entries of their servers lapse, and a
- * service whose servers all live and can be reached is without servers.
+ * Lease state of the backend server on this host. The lease is the server's entry in the
+ * store, which expires when its heartbeats do not arrive. Failure it guards against: hosts
+ * are partitioned from the store, the entries of their servers expire, and a service whose
+ * servers are all alive and reachable is left without servers.
  *
- * A missing entry does not tell whether its server left. The node beside the
- * server can: it knows whether it reaches the store itself, and it can ask the
- * server. No I/O; the time is given. States and transitions: docs/DESIGN.md.
+ * A missing entry does not tell whether its server has left. The node on the same host can
+ * find out: it knows whether it reaches the store itself, and it can query the server. No
+ * I/O; the caller passes the time. States and transitions: docs/DESIGN.md.
  */
 #ifndef LW_LEASE_H
 #define LW_LEASE_H
@@ -15,41 +15,41 @@
 #include <stdint.h>
 
 typedef enum lw_lease_state {
-	LW_LEASE_HELD, /* the entry is there */
-	LW_LEASE_LAPSED, /* it is missing, the cause is not known yet */
+	LW_LEASE_HELD, /* the entry is in the store */
+	LW_LEASE_LAPSED, /* the entry is missing, the cause is not known yet */
 	LW_LEASE_CUT, /* this node cannot read the store, its server is healthy */
-	LW_LEASE_RETURNING, /* the store is read again, the entry is due back */
-	LW_LEASE_GONE, /* the server left, or nothing shows that it lives */
+	LW_LEASE_RETURNING, /* the store is readable again, the server is expected to re-register */
+	LW_LEASE_GONE, /* the server left, or nothing shows that it is alive */
 	LW_LEASE_STATES
 } lw_lease_state_t;
 
-/* Why the state is what it is; for the log. */
+/* Reason for the current state, for the log. */
 typedef enum lw_lease_cause {
-	LW_LEASE_CAUSE_LIST, /* the entry is in the list, or is not */
-	LW_LEASE_CAUSE_SERVER, /* the server says that it leaves, or another is there */
-	LW_LEASE_CAUSE_STORE, /* the store was read, or could not be */
-	LW_LEASE_CAUSE_TIME, /* no evidence came in time */
+	LW_LEASE_CAUSE_LIST, /* the entry is or is not in the server list */
+	LW_LEASE_CAUSE_SERVER, /* the server reports that it is leaving, or another server answers */
+	LW_LEASE_CAUSE_STORE, /* the store was read, or could not be read */
+	LW_LEASE_CAUSE_TIME, /* no evidence arrived in time */
 } lw_lease_cause_t;
 
 typedef struct lw_lease {
 	lw_lease_state_t state;
 	lw_lease_cause_t cause;
-	uint64_t lapsed_us; /* when the entry was found missing */
-	uint64_t returned_us; /* when the store was first read again */
-	bool server_left; /* it is certain that the server is not to be used */
+	uint64_t lapsed_us; /* time when the entry was found missing */
+	uint64_t returned_us; /* time when the store was first read again */
+	bool server_left; /* it is certain that the server must not be used */
 } lw_lease_t;
 
-/* What the node beside the server knows; times as of the same clock, 0: never. */
+/* What the node knows about its server and the store. Times are of one clock, 0: never. */
 typedef struct lw_lease_evidence {
 	uint64_t now_us;
-	uint64_t store_read_us; /* this node last read the store */
-	uint64_t store_failed_us; /* it last failed to */
-	bool pending; /* a call has had no answer for LW_LEASE_PENDING_US */
-	uint64_t healthy_us; /* the server last said that it is healthy */
-	bool leaving; /* it said otherwise, refuses connections, or is another one */
+	uint64_t store_read_us; /* last successful read of the store */
+	uint64_t store_failed_us; /* last failed read of the store */
+	bool pending; /* a call to the store has been unanswered for LW_LEASE_PENDING_US */
+	uint64_t healthy_us; /* last time the server reported that it is healthy */
+	bool leaving; /* the server is leaving, refuses connections, or has been replaced */
 } lw_lease_evidence_t;
 
-/* How long a call to the store may take before it counts as failing, us. */
+/* A call to the store that takes longer than this counts as failing, us. */
 #define LW_LEASE_PENDING_US 400000
 
 void lw_lease_entry_found(lw_lease_t *l);
--- a/tests/test_lease.c
+++ b/tests/test_lease.c
@@ -1,9 +1,9 @@
 /*
- * A bounded search over what can happen to one backend server: cuts of its host
- * from the store, departures with and without a word, crashes, new processes
- * under its id, other servers at its address, in every order and at every half
- * second, with news that comes early or late. The node beside the server runs
- * lease.c, another node runs placement; the promises are checked at each step.
+ * Bounded exhaustive search over the faults of one backend server: partitions of its host
+ * from the store, departures with and without an announcement, crashes, new processes with
+ * its id and other servers at its address, in every order and at every half second, with
+ * store updates that arrive early or late. The node on the server's host runs lease.c,
+ * another node runs placement; the guarantees are checked at each step.
  */
 #include <stdio.h>
 #include <string.h>
@@ -14,15 +14,15 @@
 
 #define STEP_MS	 100
 #define STEPS	 90
-#define EVENTS	 3 /* most that happen in one run */
-#define EVENT_MS 500 /* they happen at multiples of this */
-/* the store's part, ms */
-#define LAPSE_MS  1000 /* from the last heartbeat; shorter than real, to search less */
-#define RETURN_MS 1500 /* from the end of a cut until the entry is written again */
+#define EVENTS	 3 /* maximum per run */
+#define EVENT_MS 500 /* faults are injected at multiples of this time */
+/* timing of the store, ms */
+#define LAPSE_MS  1000 /* from heartbeat to expiry; shorter than real for a smaller search */
+#define RETURN_MS 1500 /* from the end of a partition until the server re-registers */
 #define UPDATE_MS 700 /* longest time between two reads of the store by a reader */
-/* the promises, ms */
-#define DRAIN_MS  2000 /* a server that leaves may get work so much longer */
-#define IDLE_MS	  1000 /* a living server that can be reached goes unused so long at most */
+/* the guarantees, ms */
+#define DRAIN_MS  2000 /* a leaving server may still get requests for this long */
+#define IDLE_MS	  1000 /* longest time that a live, reachable server goes unused */
 #define MARGIN_MS 450 /* as in proxynews.c */
 
 typedef enum event { CUT, HEAL, LEAVE, DRAIN, CRASH, RESTART, ADDRESS_REUSED, EVENT_COUNT } event_t;
@@ -32,23 +32,26 @@
 	long at_ms;
 } fault_t;
 
-/* one run: the world, the node beside the server, and the node that sends */
+/*
+ * One run: the backend server and the store, the node on the server's host, and the node
+ * that sends requests.
+ */
 typedef struct run {
 	long now;
 	bool cut, alive, leaving, other;
 	uint64_t born;
 	long cut_since, heal_at, died_at, left_at; /* -1: never */
-	long acked_at; /* when the store has known of the departure; -1: it does not */
+	long acked_at; /* when the store learned of the departure; -1: not yet */
 	bool entry, entry_draining;
 	uint64_t entry_born;
-	long update_delay; /* from a change in the store until both nodes hear of it */
-	long update_at; /* the list as it was then is what they have */
+	long update_delay; /* from a change in the store until both nodes receive it */
+	long update_at; /* time at which the nodes receive the pending update */
 	bool listed, listed_other, listed_draining;
 	uint64_t listed_born;
 	lw_lease_t lease;
 	lw_lease_evidence_t ev;
 	lw_place_t place;
-	bool readable; /* the store could be read when the entry was found missing */
+	bool readable; /* the store was readable when the entry was found missing */
 	long unused_since;
 	bool used;
 } run_t;
@@ -57,7 +60,7 @@
 
 static uint64_t us(long ms)
 {
-	/* not zero: that stands for never */
+	/* not zero: zero means never */
 	return (uint64_t)(ms + 1000000) * 1000;
 }
 
@@ -131,7 +134,10 @@
 	}
 	if (r->cut && r->now - r->cut_since >= LAPSE_MS)
 		r->entry = false;
-	/* what a leaver could not tell the store during a cut it tells after it */
+	/*
+	 * A departure that could not be written to the store during a partition is written
+	 * after it.
+	 */
 	if (r->alive && r->leaving && !r->cut && r->entry && !r->entry_draining &&
 	    r->now - r->heal_at >= 300)
 		r->entry = false;
@@ -173,7 +179,7 @@
 	lw_place_update(&r->place, &sl, us(r->now), us(read_before + DRAIN_MS - MARGIN_MS));
 }
 
-/* both nodes hear of the store's list after the delay */
+/* both nodes receive the store's list after the delay */
 static void step_updates(run_t *r)
 {
 	bool same = r->listed == r->entry && r->listed_other == r->other &&
@@ -198,7 +204,7 @@
 	} else if (r->lease.state == LW_LEASE_HELD && !r->listed_draining) {
 		lw_lease_entry_missing(&r->lease, us(r->now));
 		r->readable = !r->cut;
-		/* the server is asked at once */
+		/* the server is queried at once */
 		r->ev.healthy_us = r->alive && !r->leaving ? us(r->now) : 0;
 		r->ev.leaving = !r->alive || r->leaving;
 	}
@@ -233,11 +239,11 @@
 	return gate_open && lw_place_pick(lw_place_service(&r->place, "s"), &none, &ask);
 }
 
-static void report_violation(const run_t *r, const char *promise, const fault_t *h, int n)
+static void report_violation(const run_t *r, const char *guarantee, const fault_t *h, int n)
 {
 	if (violations++ > 5)
 		return;
-	fprintf(stderr, "  %s at %ld ms, lease %s, news after %ld ms:", promise, r->now,
+	fprintf(stderr, "  %s at %ld ms, lease %s, store updates after %ld ms:", guarantee, r->now,
 		lw_lease_state_name(r->lease.state), r->update_delay);
 	for (int i = 0; i < n; i++)
 		fprintf(stderr, " %d at %ld", h[i].what, h[i].at_ms);
@@ -247,20 +253,21 @@
 static void check_guarantees(run_t *r, const fault_t *h, int n)
 {
 	/*
-	 * A node that reads the store when it hears that the entry is missing sees
-	 * the same as for a server that left without a word, and must take it so.
+	 * A node that can read the store when it learns that the entry is missing sees the
+	 * same as for a server that left without an announcement, and must treat it the
+	 * same.
 	 */
 	bool lapsed = r->alive && !r->leaving && !r->other && r->cut && !r->readable &&
 		      r->born == r->listed_born;
 
 	if (r->used && r->leaving && r->acked_at >= 0 && r->now > r->acked_at + DRAIN_MS)
-		report_violation(r, "work after the drain time", h, n);
+		report_violation(r, "requests after the drain time", h, n);
 	if (r->used && r->listed_other)
-		report_violation(r, "work to another service's address", h, n);
+		report_violation(r, "requests to an address of another service", h, n);
 	if (r->used || !lapsed)
 		r->unused_since = r->now;
 	if (r->now - r->unused_since > IDLE_MS)
-		report_violation(r, "a living server goes unused", h, n);
+		report_violation(r, "a live server goes unused", h, n);
 }
 
 static void play(const fault_t *h, int n, long update_delay)
@@ -321,7 +328,7 @@
 	fault_t h[EVENTS];
 
 	search(h, 0);
-	printf("\n    lease: %llu runs, %llu states, %llu promises broken ",
+	printf("\n    lease: %llu runs, %llu states, %llu guarantees violated ",
 	       (unsigned long long)runs, (unsigned long long)states,
 	       (unsigned long long)violations);
 	CU_ASSERT_TRUE(runs > 1000);
@@ -333,5 +340,5 @@
 {
 	CU_pSuite s = CU_add_suite("lease", NULL, NULL);
 
-	CU_add_test(s, "every order of cuts, departures and new processes", test_search);
+	CU_add_test(s, "every order of partitions, departures and new processes", test_search);
 }
