--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -1,4 +1,4 @@
-/* Requests that end backend servers; see quarantine.h. */
+/* Requests that crash backend servers; see quarantine.h. */
 #include "quarantine.h"
 
 #include <stdlib.h>
@@ -7,21 +7,24 @@
 
 #include "xalloc.h"
 
-/* ends with which a request is tried alone: one may have hit anything in hand */
+/*
+ * Crashes after which a request is executed alone: a single crash may have hit any request
+ * in flight.
+ */
 #define TRIAL_CRASHES 2
-/* what was in hand at one end is remembered for so long, us */
+/* how long requests that were in flight at a single crash are remembered, us */
 #define ONE_CRASH_US 30000000
-/* what is to be tried alone, if nobody sends it any more, us */
+/* how long a request due for a trial is remembered if no caller sends it any more, us */
 #define TRIAL_MEMORY_US 120000000
-/* what was held, from the end of the last hold, us */
+/* how long a request that was held is remembered after its last hold ended, us */
 #define HELD_MEMORY_US 3600000000
-/* an answer outlives what was told before it and comes late, us */
+/* how long an answer is remembered, so that it overrides older reports that arrive late, us */
 #define ANSWER_MEMORY_US 30000000
 
-/* holds after the first, second and third trial that ended a server, us */
+/* hold times after the first, second and third trial that crashed a server, us */
 static const uint64_t hold_us[] = { 15000000, 120000000, 960000000 };
 #define NHOLDS (sizeof(hold_us) / sizeof(hold_us[0]))
-/* after all of them it is held until nobody has sent it for so long, us */
+/* after all of these, the request is held until no caller has sent it for this long, us */
 #define LAST_HOLD_US 3600000000
 
 typedef struct entry {
@@ -30,10 +33,10 @@
 } entry_t;
 
 struct lw_quarantine {
-	entry_t *entries; /* by digest, the oldest first */
+	entry_t *entries; /* by digest, oldest first */
 };
 
-/* lw_quarantine_new() - nothing is suspected. */
+/* lw_quarantine_new() - an empty table. */
 lw_quarantine_t *lw_quarantine_new(void)
 {
 	return xcalloc(1, sizeof(lw_quarantine_t));
@@ -45,7 +48,7 @@
 	free(e);
 }
 
-/* lw_quarantine_free() - release it and all that it remembers. */
+/* lw_quarantine_free() - release the table and its entries. */
 void lw_quarantine_free(lw_quarantine_t *q)
 {
 	entry_t *e, *next;
@@ -63,13 +66,16 @@
 	return e;
 }
 
-/* lw_suspect_matters() - whether requests are treated otherwise for it, now or later. */
+/*
+ * lw_suspect_is_restricted() - whether the request must be executed alone or is held, now
+ * or later.
+ */
 bool lw_suspect_is_restricted(const lw_suspect_t *s)
 {
 	return s->ncrashes >= TRIAL_CRASHES || s->trials;
 }
 
-/* a place for one more: the oldest that does not matter goes, or else the oldest */
+/* free one entry if the table is full: the oldest that is not restricted, else the oldest */
 static void make_room(lw_quarantine_t *q)
 {
 	entry_t *e, *next;
@@ -106,7 +112,7 @@
 	return lw_suspect_is_restricted(s) ? LW_QUARANTINE_TRIAL : LW_QUARANTINE_CLEAR;
 }
 
-/* lw_quarantine_verdict() - what is to be done with a request that comes now. */
+/* lw_quarantine_verdict() - how to handle a request that arrives now. */
 lw_quarantine_verdict_t lw_quarantine_verdict(lw_quarantine_t *q, const lw_fingerprint_t *print,
 					      uint64_t now_us)
 {
@@ -121,7 +127,10 @@
 	return v;
 }
 
-/* lw_quarantine_find() - what is known of the request if it is not clear of all ends; else NULL. */
+/*
+ * lw_quarantine_find() - the entry of a request with crashes that no answer has cleared;
+ * else NULL.
+ */
 const lw_suspect_t *lw_quarantine_find(const lw_quarantine_t *q, const lw_fingerprint_t *print)
 {
 	const entry_t *e = q->entries ? find(q, print) : NULL;
@@ -130,8 +139,8 @@
 }
 
 /*
- * lw_quarantine_awaits_body() - whether a request with this method, host and target
- * may be one that matters: its body tells, so it is waited for.
+ * lw_quarantine_needs_body() - whether a request with this method, host and target may be
+ * restricted. Only the body tells, so the caller waits for the body.
  */
 bool lw_quarantine_needs_body(const lw_quarantine_t *q, uint64_t head)
 {
@@ -141,7 +150,10 @@
 	return false;
 }
 
-/* lw_quarantine_held_ms() - until a request that is held may come again; 0: it is not held. */
+/*
+ * lw_quarantine_held_ms() - time until a held request may be sent again, in ms; 0 if it is
+ * not held.
+ */
 uint32_t lw_quarantine_held_ms(const lw_quarantine_t *q, const lw_fingerprint_t *print,
 			       uint64_t now_us)
 {
@@ -162,8 +174,8 @@
 }
 
 /*
- * lw_quarantine_ended() - the server process @process ended with the request in
- * hand; @tried: it was tried alone there. Returns what is known of it now.
+ * lw_quarantine_server_crashed() - the server process @process crashed while it had the
+ * request in flight; @tried: it executed the request alone. Returns the updated entry.
  */
 const lw_suspect_t *lw_quarantine_server_crashed(lw_quarantine_t *q, const lw_fingerprint_t *print,
 						 uint64_t process, bool tried, uint64_t now_us)
@@ -189,8 +201,8 @@
 }
 
 /*
- * lw_quarantine_answered() - a server answered the request and lives. Returns what
- * others must be told, NULL if nothing.
+ * lw_quarantine_answered() - a server answered the request and is alive. Returns the entry
+ * if other nodes must be informed, else NULL.
  */
 const lw_suspect_t *lw_quarantine_answered(lw_quarantine_t *q, const lw_fingerprint_t *print,
 					   uint64_t now_us)
@@ -225,8 +237,9 @@
 }
 
 /*
- * lw_quarantine_told() - another node knows this of a request. Returns what is known
- * of it now if it is treated otherwise from now on, so that others must hear of it.
+ * lw_quarantine_merge() - merge a report @told of another node. Returns the entry if the
+ * request is handled differently from now on, so that other nodes must be informed; else
+ * NULL.
  */
 const lw_suspect_t *lw_quarantine_merge(lw_quarantine_t *q, const lw_suspect_t *told,
 					uint64_t now_us)
@@ -239,7 +252,10 @@
 	return verdict_of(s, now_us) != before || s->trials != trials ? s : NULL;
 }
 
-/* lw_quarantine_list() - what a node that has just begun must know; returns how many. */
+/*
+ * lw_quarantine_list() - the restricted requests, at most @most, for a node that has just
+ * started. Returns their number.
+ */
 size_t lw_quarantine_list(const lw_quarantine_t *q, const lw_suspect_t **out, size_t most)
 {
 	size_t n = 0;
@@ -250,7 +266,7 @@
 	return n;
 }
 
-/* lw_quarantine_count() - requests that matter. */
+/* lw_quarantine_count() - number of restricted requests. */
 size_t lw_quarantine_count(const lw_quarantine_t *q)
 {
 	size_t n = 0;
@@ -272,7 +288,7 @@
 	return s->cleared_us + ANSWER_MEMORY_US;
 }
 
-/* lw_quarantine_expire() - forget what has not come for long. */
+/* lw_quarantine_expire() - remove entries that are no longer needed. */
 void lw_quarantine_expire(lw_quarantine_t *q, uint64_t now_us)
 {
 	entry_t *e, *next;
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -1,15 +1,15 @@
 /*
- * Requests under which backend servers ended, and what is done with them when they
- * come again. Load pattern: callers repeat a request at any host, and each server
- * that begins to run it ends, with all that it has in hand.
+ * Requests that backend servers crashed on, and how further copies of these requests are
+ * handled. Load pattern: callers retry a request at any host, and each server that starts
+ * to execute it crashes, together with all its requests in flight.
  *
- * A server that ends says nothing of which request was the cause. So what was in
- * hand at two ends is tried alone: one at a time in the fleet, at one server, and
- * not repeated. If that server ends, too, the request is held back for a time, longer
- * after each trial that fails. An answer, anywhere, clears it.
+ * A crash does not show which request caused it. A request that was in flight at two
+ * crashes is therefore executed alone: one at a time in the whole fleet, at one server,
+ * without a retry. If that server crashes as well, the request is held back for a time,
+ * which grows with each failed trial. An answer from any server clears the request.
  *
- * Nodes tell each other what they know of a request; what is told may come in any
- * order, twice or late. No I/O; the time is given.
+ * Nodes exchange what they know about a request; these reports may arrive out of order,
+ * twice or late. No I/O; the caller passes the time.
  */
 #ifndef LW_QUARANTINE_H
 #define LW_QUARANTINE_H
@@ -20,26 +20,26 @@
 
 #include "fingerprint.h"
 
-/* Ends that are told apart: more of them change nothing. */
+/* Number of distinct crashes that are stored per request; more of them change nothing. */
 #define LW_SUSPECT_CRASHES_MAX 4
-/* Requests that are remembered at most. */
+/* Maximum number of requests that are remembered. */
 #define LW_QUARANTINE_MAX 1024
 
 typedef enum lw_quarantine_verdict {
 	LW_QUARANTINE_CLEAR,
-	LW_QUARANTINE_TRIAL, /* to be tried alone */
-	LW_QUARANTINE_HELD, /* not to be given to any server */
+	LW_QUARANTINE_TRIAL, /* execute it alone */
+	LW_QUARANTINE_HELD, /* do not send it to any server */
 } lw_quarantine_verdict_t;
 
-/* What is known of one request; times are of the same clock, 0: never. */
+/* What is known about one request. Times are of one clock, 0: never. */
 typedef struct lw_suspect {
 	lw_fingerprint_t print;
-	uint64_t end[LW_SUSPECT_CRASHES_MAX]; /* processes that ended with it in hand */
+	uint64_t end[LW_SUSPECT_CRASHES_MAX]; /* processes that crashed with it in flight */
 	uint32_t ncrashes;
-	uint32_t trials; /* that ended their servers */
-	uint64_t last_crash_us; /* the newest end */
+	uint32_t trials; /* trials that crashed their servers */
+	uint64_t last_crash_us; /* time of the newest crash */
 	uint64_t held_until_us;
-	uint64_t cleared_us; /* an answer came; ends before it do not count */
+	uint64_t cleared_us; /* time of the last answer; crashes before it do not count */
 } lw_suspect_t;
 
 typedef struct lw_quarantine lw_quarantine_t;
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -1,7 +1,7 @@
 /*
- * A bounded search over what nodes hear of requests that end servers: word that is
- * lost, doubled, late or out of order, nodes that begin anew, callers that repeat at
- * any node. The promises are checked at each step.
+ * Randomised search over the reports that nodes exchange about requests that crash
+ * servers: reports that are lost, duplicated, late or reordered, nodes that restart,
+ * callers that retry at any node. The guarantees are checked at each step.
  */
 #include <string.h>
 
@@ -12,8 +12,8 @@
 #define RUNS	    3000
 #define STEPS	    160
 #define STEP_US	    50000
-#define REPORTS_MAX 256 /* under way */
-/* the promises: servers that a request ends in one run while all word arrives */
+#define REPORTS_MAX 256 /* reports in flight */
+/* guarantee: most servers that a request crashes in one run if all reports arrive */
 #define CRASHES_MAX 8
 
 typedef struct report_in_flight {
@@ -28,7 +28,7 @@
 	uint64_t now_us, process, rng;
 	uint32_t bad_crashes;
 	bool loses, restarts;
-	bool good_tried_at_a_crash; /* only then may it be held */
+	bool good_tried_at_a_crash; /* only then may the good request be held */
 } search_t;
 
 static const lw_fingerprint_t bad = { 1, 1 }, good = { 1, 2 };
@@ -48,7 +48,7 @@
 	}
 }
 
-/* one word arrives, any of those under way; now and then it stays to come again */
+/* one of the reports in flight arrives; now and then it stays and arrives again later */
 static void deliver(search_t *s)
 {
 	size_t i = draw(s, (uint32_t)s->nreports);
@@ -62,7 +62,7 @@
 		send_report(s, update, w.to);
 }
 
-/* a server ends beside @n with both requests in hand, or the bad one alone */
+/* a server at node @n crashes with both requests in flight, or with the bad one alone */
 static void crash_server(search_t *s, int n, bool tried, bool good_in_flight, bool good_tried)
 {
 	s->process++;
@@ -100,7 +100,7 @@
 		send_report(s, update, n);
 }
 
-/* a node begins anew and is greeted by another */
+/* a node restarts and another node sends it the list of restricted requests */
 static void restart_node(search_t *s, int n)
 {
 	const lw_suspect_t *list[8];
@@ -181,7 +181,7 @@
 		run(seed, true, seed % 2);
 }
 
-/* a node tells of trials without a server that ended: nobody may look for one */
+/* a report of trials without a crashed server: no code may depend on finding that server */
 static void inconsistent_report(void)
 {
 	lw_quarantine_t *q = lw_quarantine_new();
@@ -195,12 +195,12 @@
 	lw_quarantine_free(q);
 }
 
-/* suite_quarantine() - register the search. */
+/* suite_quarantine() - register the tests of this file. */
 void suite_quarantine(void)
 {
 	CU_pSuite s = CU_add_suite("quarantine", NULL, NULL);
 
-	CU_add_test(s, "all word arrives, in any order", all_reports_arrive);
-	CU_add_test(s, "word that makes no sense", inconsistent_report);
-	CU_add_test(s, "word is lost and nodes begin anew", reports_are_lost_and_nodes_restart);
+	CU_add_test(s, "all reports arrive, in any order", all_reports_arrive);
+	CU_add_test(s, "inconsistent report", inconsistent_report);
+	CU_add_test(s, "reports are lost and nodes restart", reports_are_lost_and_nodes_restart);
 }
