--- a/src/quota.c
+++ b/src/quota.c
@@ -10,84 +10,84 @@
 #include "quotawindow.h"
 #include "xalloc.h"
 
-/* a report that is not answered after this counts as lost, us */
+/* a report without an answer counts as lost after this time, us */
 #define ANSWER_TIMEOUT_US 700000
-/* and is late after this, us */
+/* the answer to a report is late after this time, us */
 #define ANSWER_LATE_US 200000
-/* so many requests of one organisation since the last report are told at once */
+/* this many requests of one organisation since the last report trigger a report at once */
 #define SURGE_REQUESTS 3
-/* the part of the slack that nodes on their own share out beside the limit */
+/* fraction of the slack that standalone nodes share in addition to the limit */
 #define STANDALONE_SLACK_SHARE 0.5
 /*
- * Requests that each node is taken to have had beside those it had: where few
- * come, who had one of late says little of who gets the next.
+ * Requests that each node is assumed to have received in addition to the actual ones: at
+ * low rates, past requests say little about which node gets the next one.
  */
 #define PRIOR_REQUESTS 0.33
-/* a node's part of a burst from which on its own limit is a token bucket, requests */
+/* a node whose share of the burst is at least this uses a token bucket, requests */
 #define BUCKET_MIN 2.0
-/* a refused request may come back after this at least, and at most, ms */
+/* lower and upper bound of the retry-after delay of a refused request, ms */
 #define RETRY_AFTER_MIN_MS 100
 #define RETRY_AFTER_MAX_MS 1000
 
-/* counted for one keeper and not told yet */
+/* requests counted for one coordinator but not reported yet */
 typedef struct lw_pending {
 	uint32_t asked;
 	int32_t admitted;
 } lw_pending_t;
 
-/* one organisation as this node sees it */
+/* usage of one organisation at this node */
 typedef struct lw_orgusage {
 	uint64_t org;
 	char name[LW_NAME_MAX];
 	double rate_per_s;
 	double burst;
 	lw_pending_t pending[LW_QUOTA_COORDINATORS];
-	lw_pending_t sent[LW_QUOTA_COORDINATORS]; /* with the report that waits for its answer */
-	uint64_t terms; /* number of the terms that it was named in last */
-	uint32_t permille; /* as told then */
-	double admit_credit; /* part of a request that may be let in, 0 to 1 */
-	double phase; /* part of a request, drawn once: rounds this node's part */
-	double demand; /* here, per second, of late */
+	lw_pending_t sent[LW_QUOTA_COORDINATORS]; /* in the report that awaits its answer */
+	uint64_t grant_number; /* number of the last answer that named the organisation */
+	uint32_t permille; /* fraction to admit according to that answer */
+	double admit_credit; /* accumulated fraction of the next admitted request, 0 to 1 */
+	double phase; /* fraction of a request, drawn once: rounds this node's share */
+	double demand; /* recent demand at this node, per second */
 	uint64_t demand_us;
-	double fleet_demand; /* at all nodes, as last told; 0: not told */
-	double part; /* of it that was here when a keeper was last heard */
-	double tokens; /* of this node's own bucket, while it is on its own */
+	double fleet_demand; /* at all nodes, per the last answer; 0: not included */
+	double part; /* this node's share of it at the last answer of a coordinator */
+	double tokens; /* of this node's own token bucket, used while it is standalone */
 	uint64_t tokens_us;
-	lw_quotawindow_t window; /* let in here */
+	lw_quotawindow_t window; /* requests admitted here */
 	uint64_t asked;
 	uint64_t refused;
 	UT_hash_handle hh;
 } lw_orgusage_t;
 
 typedef struct lw_reporting {
-	uint64_t sent_us; /* of the report that waits for its answer; 0: none does */
-	uint64_t last_us; /* when the last one was sent */
-	bool surge; /* something is to be told at once */
+	uint64_t sent_us; /* time of the report that awaits its answer; 0: none does */
+	uint64_t last_us; /* time of the last report */
+	bool surge; /* a report must be sent at once */
 } lw_reporting_t;
 
 struct lw_quota {
-	lw_quota_tolerance_t terms;
+	lw_quota_tolerance_t tolerance;
 	lw_orgusage_t *uses;
 	lw_reporting_t to[LW_QUOTA_COORDINATORS];
-	uint64_t granted_us; /* when a keeper was last heard; 0: never */
-	uint64_t grant_round; /* of the newest terms */
-	size_t nlimited; /* organisations they named as limited */
-	uint32_t nodes; /* of the fleet */
-	uint64_t seed; /* of the phases */
+	uint64_t granted_us; /* time of the last answer of a coordinator; 0: never */
+	uint64_t grant_round; /* number of the newest answer */
+	size_t nlimited; /* organisations that it named as limited */
+	uint32_t nodes; /* number of nodes in the fleet */
+	uint64_t seed; /* seed of the phases */
 };
 
-/* lw_quota_new() - nothing is known; @seed: different on each node. */
-lw_quota_t *lw_quota_new(const lw_quota_tolerance_t *terms, uint64_t seed)
+/* lw_quota_new() - an empty table; @seed must differ between nodes. */
+lw_quota_t *lw_quota_new(const lw_quota_tolerance_t *tolerance, uint64_t seed)
 {
 	lw_quota_t *q = xcalloc(1, sizeof(*q));
 
-	q->terms = *terms;
+	q->tolerance = *tolerance;
 	q->nodes = 1;
 	q->seed = seed;
 	return q;
 }
 
-/* lw_quota_free() - release it. */
+/* lw_quota_free() - release the table. */
 void lw_quota_free(lw_quota_t *q)
 {
 	lw_orgusage_t *u, *next;
@@ -100,13 +100,13 @@
 	free(q);
 }
 
-/* lw_quota_set_terms() - the terms have changed. */
-void lw_quota_set_tolerance(lw_quota_t *q, const lw_quota_tolerance_t *terms)
+/* lw_quota_set_tolerance() - apply changed settings. */
+void lw_quota_set_tolerance(lw_quota_t *q, const lw_quota_tolerance_t *tolerance)
 {
-	q->terms = *terms;
+	q->tolerance = *tolerance;
 }
 
-/* lw_quota_set_nodes() - the fleet has so many nodes. */
+/* lw_quota_set_nodes() - set the number of nodes in the fleet. */
 void lw_quota_set_nodes(lw_quota_t *q, uint32_t nodes)
 {
 	q->nodes = nodes ? nodes : 1;
@@ -141,7 +141,10 @@
 	return u->demand * exp(-(double)(now_us - u->demand_us) / 1e6 / LW_QUOTA_DEMAND_MEMORY_S);
 }
 
-/* every keeper owes an answer for long: a surge that begins with a cut is seen at once */
+/*
+ * Answers of all coordinators are late: detects a surge that starts together with a
+ * partition at once.
+ */
 static bool reports_unanswered(const lw_quota_t *q, uint64_t now_us)
 {
 	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++)
@@ -150,7 +153,7 @@
 	return true;
 }
 
-/* lw_quota_alone() - whether this node has to decide without a keeper. */
+/* lw_quota_is_standalone() - whether this node must decide without a coordinator. */
 bool lw_quota_is_standalone(const lw_quota_t *q, uint64_t now_us)
 {
 	return !q->granted_us || now_us - q->granted_us > LW_QUOTA_STANDALONE_US ||
@@ -158,8 +161,8 @@
 }
 
 /*
- * lw_quota_part() - the part of a limit that is a node's own: that of the demand
- * that comes to it. The parts of all nodes add up to one.
+ * lw_quota_share() - this node's share of a limit, from the demand at this node and at all
+ * nodes. The shares of all nodes add up to one.
  */
 double lw_quota_share(double here_per_s, double all_per_s, uint32_t nodes)
 {
@@ -170,21 +173,21 @@
 }
 
 /*
- * Parts of a few requests are rounded by a number drawn once for each node, so
- * that the parts of all nodes add up to the allowance.
+ * Shares of a few requests are rounded by a number drawn once per node, so that the shares
+ * of all nodes add up to the allowance.
  */
 static bool fits_window(lw_quota_t *q, lw_orgusage_t *u, double part, uint64_t now_us)
 {
-	double all = u->rate_per_s * q->terms.window_s + u->burst +
-		     STANDALONE_SLACK_SHARE * q->terms.slack;
+	double all = u->rate_per_s * q->tolerance.window_s + u->burst +
+		     STANDALONE_SLACK_SHARE * q->tolerance.slack;
 
-	return lw_quotawindow_sum(&u->window, q->terms.window_s, now_us) <
+	return lw_quotawindow_sum(&u->window, q->tolerance.window_s, now_us) <
 	       (uint32_t)(all * part + u->phase);
 }
 
 /*
- * A count over a window would let it all in at once, and again just after the
- * window: as many as the connected nodes let in meanwhile came on top.
+ * A count over a window would admit the whole share at once, and again right after the
+ * window, in addition to what the connected nodes admit in the meantime.
  */
 static bool fits_bucket(lw_orgusage_t *u, double part, uint64_t now_us)
 {
@@ -200,7 +203,7 @@
 	return true;
 }
 
-/* whether one more is within the part of the limit that is this node's own */
+/* whether one more request is within this node's own share of the limit */
 static bool fits_own_share(lw_quota_t *q, lw_orgusage_t *u, uint64_t now_us)
 {
 	double part = u->fleet_demand > 0 ? u->part : 1.0 / q->nodes;
@@ -211,10 +214,10 @@
 
 static uint32_t permille_of(const lw_quota_t *q, const lw_orgusage_t *u)
 {
-	return u->terms == q->grant_round ? u->permille : 1000;
+	return u->grant_number == q->grant_round ? u->permille : 1000;
 }
 
-/* lets in the told part, evenly spread */
+/* admits the granted fraction, evenly spread */
 static bool fits_grant(lw_orgusage_t *u, uint32_t permille)
 {
 	if (permille >= 1000)
@@ -243,7 +246,7 @@
 	}
 }
 
-/* lw_quota_take() - a request of @org comes: is it let in? */
+/* lw_quota_admit() - decide whether to admit a request of @org, and count it. */
 void lw_quota_admit(lw_quota_t *q, const lw_organisation_t *org, uint64_t now_us,
 		    lw_quota_decision_t *out)
 {
@@ -267,14 +270,14 @@
 		out->standalone ? fits_own_share(q, u, now_us) : fits_grant(u, out->admit_permille);
 	count_pending(q, u, out->admitted);
 	if (out->admitted) {
-		lw_quotawindow_add(&u->window, q->terms.window_s, now_us);
+		lw_quotawindow_add(&u->window, q->tolerance.window_s, now_us);
 		return;
 	}
 	u->refused++;
 	out->room_ms = out->standalone ? RETRY_AFTER_MAX_MS : room_ms(out->admit_permille);
 }
 
-/* lw_quota_refund() - a request that was let in is refused after all, and has not run. */
+/* lw_quota_refund() - an admitted request was refused later and has not been executed. */
 void lw_quota_refund(lw_quota_t *q, uint64_t org, uint64_t now_us)
 {
 	lw_orgusage_t *u;
@@ -282,26 +285,26 @@
 	HASH_FIND(hh, q->uses, &org, sizeof(org), u);
 	if (!u)
 		return;
-	lw_quotawindow_remove(&u->window, q->terms.window_s, now_us);
+	lw_quotawindow_remove(&u->window, q->tolerance.window_s, now_us);
 	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++)
 		u->pending[k].admitted--;
 }
 
-/* what a lost report told is told again */
-static void requeue_lost_report(lw_quota_t *q, uint32_t keeper)
+/* count the contents of a lost report again, for the next report */
+static void requeue_lost_report(lw_quota_t *q, uint32_t coordinator)
 {
 	for (lw_orgusage_t *u = q->uses; u; u = u->hh.next) {
-		u->pending[keeper].asked += u->sent[keeper].asked;
-		u->pending[keeper].admitted += u->sent[keeper].admitted;
-		u->sent[keeper] = (lw_pending_t){ 0 };
+		u->pending[coordinator].asked += u->sent[coordinator].asked;
+		u->pending[coordinator].admitted += u->sent[coordinator].admitted;
+		u->sent[coordinator] = (lw_pending_t){ 0 };
 	}
-	q->to[keeper].sent_us = 0;
+	q->to[coordinator].sent_us = 0;
 }
 
-/* lw_quota_due() - whether the keeper is to be sent a report now. */
-bool lw_quota_report_due(const lw_quota_t *q, uint32_t keeper, uint64_t now_us)
+/* lw_quota_report_due() - whether to send a report to the coordinator now. */
+bool lw_quota_report_due(const lw_quota_t *q, uint32_t coordinator, uint64_t now_us)
 {
-	const lw_reporting_t *to = &q->to[keeper];
+	const lw_reporting_t *to = &q->to[coordinator];
 	uint64_t period = q->nlimited ? LW_QUOTA_REPORT_LIMITED_US : LW_QUOTA_REPORT_IDLE_US;
 
 	if (to->surge)
@@ -313,27 +316,27 @@
 }
 
 /*
- * lw_quota_report() - what the keeper has not been told yet, at most @most
- * organisations; the rest comes with the next report. One waits for its answer at
- * a time.
+ * lw_quota_report() - fill @out with what the coordinator has not been told yet, at most
+ * @most organisations; the others follow in the next report. Only one report at a time
+ * awaits its answer.
  */
-size_t lw_quota_report(lw_quota_t *q, uint32_t keeper, uint64_t now_us, lw_quota_usage_t *out,
+size_t lw_quota_report(lw_quota_t *q, uint32_t coordinator, uint64_t now_us, lw_quota_usage_t *out,
 		       size_t most)
 {
 	size_t n = 0;
 
-	if (q->to[keeper].sent_us)
-		requeue_lost_report(q, keeper);
+	if (q->to[coordinator].sent_us)
+		requeue_lost_report(q, coordinator);
 	for (lw_orgusage_t *u = q->uses; u && n < most; u = u->hh.next) {
-		lw_pending_t *p = &u->pending[keeper];
+		lw_pending_t *p = &u->pending[coordinator];
 
 		if (!p->asked && !p->admitted)
 			continue;
 		out[n++] = (lw_quota_usage_t){ u->org, p->asked, p->admitted };
-		u->sent[keeper] = *p;
+		u->sent[coordinator] = *p;
 		*p = (lw_pending_t){ 0 };
 	}
-	q->to[keeper] = (lw_reporting_t){ .sent_us = now_us, .last_us = now_us };
+	q->to[coordinator] = (lw_reporting_t){ .sent_us = now_us, .last_us = now_us };
 	return n;
 }
 
@@ -341,35 +344,41 @@
 {
 	lw_orgusage_t *u = usage_of(q, t->org);
 
-	if (u->terms != q->grant_round)
+	if (u->grant_number != q->grant_round)
 		q->nlimited += t->admit_permille < 1000;
-	u->terms = q->grant_round;
+	u->grant_number = q->grant_round;
 	u->permille = t->admit_permille;
 	if (t->demand_per_s > 0)
 		u->fleet_demand = t->demand_per_s;
 }
 
-/* lw_quota_told() - the keeper has answered a report; what it does not name is not limited. */
-void lw_quota_apply_grants(lw_quota_t *q, uint32_t keeper, const lw_quota_grant_t *terms, size_t n,
-			   uint64_t now_us)
+/*
+ * lw_quota_apply_grants() - apply the coordinator's answer to a report; organisations that
+ * it does not name are not limited.
+ */
+void lw_quota_apply_grants(lw_quota_t *q, uint32_t coordinator, const lw_quota_grant_t *grants,
+			   size_t n, uint64_t now_us)
 {
-	q->to[keeper].sent_us = 0;
+	q->to[coordinator].sent_us = 0;
 	q->granted_us = now_us;
 	q->grant_round++;
 	q->nlimited = 0;
 	for (size_t i = 0; i < n; i++)
-		apply_grant(q, &terms[i]);
+		apply_grant(q, &grants[i]);
 	for (lw_orgusage_t *u = q->uses; u; u = u->hh.next) {
-		u->sent[keeper] = (lw_pending_t){ 0 };
+		u->sent[coordinator] = (lw_pending_t){ 0 };
 		u->part = lw_quota_share(demand_now(u, now_us), u->fleet_demand, q->nodes);
 	}
 }
 
-/* lw_quota_lost() - the keeper is another node now: it has heard nothing of what is pending. */
-void lw_quota_coordinator_lost(lw_quota_t *q, uint32_t keeper)
+/*
+ * lw_quota_coordinator_lost() - another node has become this coordinator, and it does not
+ * have what is pending.
+ */
+void lw_quota_coordinator_lost(lw_quota_t *q, uint32_t coordinator)
 {
-	requeue_lost_report(q, keeper);
-	q->to[keeper].last_us = 0;
+	requeue_lost_report(q, coordinator);
+	q->to[coordinator].last_us = 0;
 }
 
 static int compare_by_asked(const void *a, const void *b)
@@ -390,7 +399,7 @@
 	return c;
 }
 
-/* the one of the @n that asked for least */
+/* the entry of @n with the fewest requests */
 static lw_quota_count_t *min_by_asked(lw_quota_count_t *counts, size_t n)
 {
 	lw_quota_count_t *least = counts;
@@ -408,8 +417,8 @@
 }
 
 /*
- * lw_quota_counts() - the @most organisations that asked for most here, the largest
- * first; @others: the sum of all that are left out.
+ * lw_quota_counts() - the @most organisations with the most requests at this node, in
+ * descending order; @others: the sum of all remaining ones.
  */
 size_t lw_quota_counts(const lw_quota_t *q, lw_quota_count_t *out, size_t most,
 		       lw_quota_count_t *others)
--- a/src/quotabucket.c
+++ b/src/quotabucket.c
@@ -3,18 +3,21 @@
 
 #include <math.h>
 
-/* the part of the overage that is used up on purpose, so that nothing below a limit is refused */
+/*
+ * Fraction of the overage that is used deliberately, so that no request below a limit is
+ * refused.
+ */
 #define OVERAGE_FRACTION 0.25
-/* and of the slack: in a window, and at once */
+/* the same for the slack: within a window, and as a burst */
 #define SLACK_FRACTION	     0.3
 #define SLACK_BURST_FRACTION 0.2
-/* memory of the averages of the demand: one that is fast and one that is calm, in seconds */
+/* time constants of the fast and the slow average of the demand, s */
 #define FAST_S 0.3
 #define SLOW_S 1.5
-/* what a bucket holds, or owes, is used up in this time, in seconds */
+/* time in which the balance or debt of a bucket is used up, s */
 #define SETTLE_S 1.0
 
-/* requests a second that the bucket takes in; a little above the limit */
+/* refill rate of the bucket in requests per second, slightly above the limit */
 static double refill_rate(const lw_bucket_t *b, const lw_quota_tolerance_t *t)
 {
 	double rate = b->rate_per_s * (1 + OVERAGE_FRACTION * t->overage) +
@@ -29,7 +32,7 @@
 	       b->available;
 }
 
-/* lw_bucket_advance() - what has come in and what is forgotten until now. */
+/* lw_bucket_advance() - refill the bucket and decay the averages of demand until @now_us. */
 void lw_bucket_advance(lw_bucket_t *b, const lw_quota_tolerance_t *t, uint64_t now_us)
 {
 	double level_s = (double)(now_us - b->tokens_us) / 1e6;
@@ -46,16 +49,16 @@
 }
 
 /*
- * lw_bucket_rate() - requests of one report a second, in an average with a memory of
- * @memory_s; the report covers @covered_s. A node that was cut off reports all of that
- * time at once, which is no surge.
+ * lw_bucket_demand_rate() - contribution of a report of @asked requests to an average with
+ * the time constant @memory_s, per second; the report covers @covered_s. A partitioned
+ * node reports the requests of the whole partition at once, which is not a surge.
  */
 double lw_bucket_demand_rate(uint32_t asked, double memory_s, double covered_s)
 {
 	return asked / (covered_s > memory_s ? covered_s : memory_s);
 }
 
-/* lw_bucket_asked() - a node was asked for so many, in the last @covered_s. */
+/* lw_bucket_add_demand() - add the requests that a node received in the last @covered_s. */
 void lw_bucket_add_demand(lw_bucket_t *b, uint32_t asked, double covered_s)
 {
 	b->demand_fast += lw_bucket_demand_rate(asked, FAST_S, covered_s);
@@ -63,7 +66,7 @@
 	b->shared += lw_bucket_demand_rate(asked, LW_QUOTA_DEMAND_MEMORY_S, covered_s);
 }
 
-/* lw_bucket_permille() - the part of the requests that the bucket bears. */
+/* lw_bucket_permille() - the fraction of the requests that the bucket sustains. */
 uint32_t lw_bucket_permille(const lw_bucket_t *b, const lw_quota_tolerance_t *t)
 {
 	double sustainable_rate = refill_rate(b, t) + b->tokens / SETTLE_S;
--- a/src/quotabucket.h
+++ b/src/quotabucket.h
@@ -1,7 +1,7 @@
 /*
- * The limit of one organisation as a token bucket that all nodes draw on, and the
- * demand for it. It may run into debt, as what nodes let in is told some tenths of a second
- * later. No I/O; the time is given.
+ * The limit of one organisation as a token bucket shared by all nodes, and the demand for
+ * it. The balance may become negative, as nodes report what they admitted some tenths of a
+ * second later. No I/O; the caller passes the time.
  */
 #ifndef LW_QUOTABUCKET_H
 #define LW_QUOTABUCKET_H
@@ -12,7 +12,7 @@
 
 #include "quota.h"
 
-/* Steps of a keeper of which the demand is remembered. */
+/* Number of steps of a coordinator for which the demand is stored. */
 #define LW_BUCKET_HISTORY 7
 
 /* one organisation at all nodes */
@@ -20,17 +20,17 @@
 	uint64_t org;
 	double rate_per_s;
 	double burst;
-	double tokens; /* requests that may be let in at once; below 0: a debt */
+	double tokens; /* requests that may be admitted at once; below 0: a debt */
 	uint64_t tokens_us;
-	double demand_fast; /* demand, per second */
+	double demand_fast; /* averages of the demand, per second */
 	double demand_slow;
-	double shared; /* by which nodes know their parts */
-	double past[LW_BUCKET_HISTORY]; /* the same at the last steps of the keeper */
+	double shared; /* average from which nodes compute their shares */
+	double past[LW_BUCKET_HISTORY]; /* this average at the last steps of the coordinator */
 	uint64_t demand_us;
-	double reserved; /* part of the limit, for nodes that are not heard of */
-	double available; /* part of it for those that are */
-	bool configured; /* the configuration has it */
-	uint32_t permille; /* of its requests to let in, as last worked out */
+	double reserved; /* share of the limit reserved for silent nodes */
+	double available; /* share of the limit available to reporting nodes */
+	bool configured; /* present in the configuration */
+	uint32_t permille; /* fraction of its requests to admit, as last computed */
 	UT_hash_handle hh;
 } lw_bucket_t;
 
--- a/src/quotachoice.c
+++ b/src/quotachoice.c
@@ -1,13 +1,13 @@
-/* Which nodes keep the limits; see quotachoice.h. */
+/* Selection of the quota coordinators; see quotachoice.h. */
 #include "quotachoice.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/* keepers are drawn by a hash of their own, so that they are hardly those that read the store */
+/* a separate hash seed, so that the coordinators are rarely the nodes that read the store */
 #define CHOICE_SEED 0x71756f7461ull
 
-/* whether @a comes before @b in the order in which nodes become keepers */
+/* whether @a precedes @b in the order in which nodes become coordinators */
 static bool before(const lw_server_entry_t *a, const lw_server_entry_t *b)
 {
 	uint64_t x = XXH3_64bits_withSeed(a->addr, strlen(a->addr), CHOICE_SEED);
@@ -16,7 +16,7 @@
 	return x != y ? x > y : strcmp(a->addr, b->addr) < 0;
 }
 
-/* the first node of those that stay; not in the zone of @other, if there are others */
+/* the first candidate that is not draining and not @other, nor in its zone if @other_zone */
 static const lw_server_entry_t *best_candidate(const lw_serverlist_t *sl,
 					       const lw_server_entry_t *other, bool other_zone)
 {
@@ -36,8 +36,9 @@
 }
 
 /*
- * lw_quotachoice() - the addresses of the backend servers beside which the
- * keepers run, LW_QUOTA_KEEPERS at most, in different zones if there are.
+ * lw_quotachoice_coordinators() - the addresses of the backend servers on whose hosts the
+ * coordinators run: at most LW_QUOTA_COORDINATORS, in different zones if possible. Returns
+ * their number.
  */
 uint32_t lw_quotachoice_coordinators(const lw_serverlist_t *sl, char out[][LW_NAME_MAX])
 {
--- a/src/quotachoice.h
+++ b/src/quotachoice.h
@@ -1,6 +1,6 @@
 /*
- * Which nodes are the keepers of limits (quotakeeper.h). Every node works out the same
- * ones from the list of backend servers. No I/O.
+ * Selects the nodes that are quota coordinators (quotacoord.h). Every node derives the
+ * same ones from the list of backend servers. No I/O.
  */
 #ifndef LW_QUOTACHOICE_H
 #define LW_QUOTACHOICE_H
--- a/src/quotacoord.c
+++ b/src/quotacoord.c
@@ -1,4 +1,4 @@
-/* The keeper of limits; see quotakeeper.h. */
+/* Quota coordinator; see quotacoord.h. */
 #include "quotacoord.h"
 
 #include <math.h>
@@ -9,54 +9,54 @@
 #include "quotabucket.h"
 #include "xalloc.h"
 
-/* a node not heard of for so long may be on its own, us */
+/* a node that has not reported for this long may be standalone, us */
 #define SILENT_US 600000
-/* and is gone after this: nothing stays reserved for it, us */
+/* after this time without a report, nothing stays reserved for a node, us */
 #define FORGET_US 10000000
-/* what is reserved is added up so often, us */
+/* interval at which the reserved shares are added up, us */
 #define RESERVE_STEP_US 100000
-/* which parts to let in is worked out so often, us */
+/* interval at which the fractions to admit are computed, us */
 #define COMPUTE_US 30000
-/* the demand of so many organisations is told in turn, whoever reports */
+/* number of organisations whose demand is included in turn in any answer */
 #define ROUND_ROBIN_ORGS 6
 
-/* what one node was last asked for by one organisation */
+/* demand for one organisation at one node */
 typedef struct lw_nodeusage {
 	uint64_t org;
-	double demand; /* per second, of late */
+	double demand; /* recent demand, per second */
 	uint64_t at_us;
-	double part; /* of the limit, that is reserved while the node is silent */
+	double part; /* share of the limit that is reserved while the node is silent */
 	UT_hash_handle hh;
 } lw_nodeusage_t;
 
 typedef struct lw_reporter {
 	uint64_t node; /* digest of its address */
 	uint64_t heard_us;
-	bool silent; /* its parts are reserved */
+	bool silent; /* its shares are reserved */
 	lw_nodeusage_t *uses;
 	UT_hash_handle hh;
 } lw_reporter_t;
 
 struct lw_quotacoord {
-	lw_quota_tolerance_t terms;
+	lw_quota_tolerance_t tolerance;
 	lw_bucket_t *buckets;
 	lw_reporter_t *reporters;
-	uint32_t nodes; /* of the fleet */
-	uint32_t nsilent; /* of these, that have not reported, or not for long */
-	uint64_t reserved_us; /* when that was last added up */
-	uint64_t step; /* number of that */
-	lw_bucket_t **limited; /* those of which not all is let in, as last worked out */
+	uint32_t nodes; /* number of nodes in the fleet */
+	uint32_t nunknown; /* nodes that never reported, or not within FORGET_US */
+	uint64_t reserved_us; /* when the reserved shares were last added up */
+	uint64_t step; /* number of that update */
+	lw_bucket_t **limited; /* buckets of limited organisations, as last computed */
 	size_t nlimited;
 	uint64_t computed_us;
-	lw_bucket_t *next_round_robin; /* its demand is told next to whoever reports */
+	lw_bucket_t *next_round_robin; /* its demand is included in the next answer */
 };
 
-/* lw_quotakeeper_new() - no node has reported yet. */
-lw_quotacoord_t *lw_quotacoord_new(const lw_quota_tolerance_t *terms, uint64_t now_us)
+/* lw_quotacoord_new() - a coordinator without any reports. */
+lw_quotacoord_t *lw_quotacoord_new(const lw_quota_tolerance_t *tolerance, uint64_t now_us)
 {
 	lw_quotacoord_t *k = xcalloc(1, sizeof(*k));
 
-	k->terms = *terms;
+	k->tolerance = *tolerance;
 	k->reserved_us = now_us;
 	return k;
 }
@@ -74,7 +74,7 @@
 	free(r);
 }
 
-/* lw_quotakeeper_free() - release it; NULL is fine. */
+/* lw_quotacoord_free() - release the coordinator; NULL is fine. */
 void lw_quotacoord_free(lw_quotacoord_t *k)
 {
 	lw_bucket_t *b, *nextb;
@@ -93,13 +93,13 @@
 	free(k);
 }
 
-/* lw_quotakeeper_set_terms() - the terms have changed. */
-void lw_quotacoord_set_tolerance(lw_quotacoord_t *k, const lw_quota_tolerance_t *terms)
+/* lw_quotacoord_set_tolerance() - apply changed settings. */
+void lw_quotacoord_set_tolerance(lw_quotacoord_t *k, const lw_quota_tolerance_t *tolerance)
 {
-	k->terms = *terms;
+	k->tolerance = *tolerance;
 }
 
-/* lw_quotakeeper_set_nodes() - the fleet has so many nodes. */
+/* lw_quotacoord_set_nodes() - set the number of nodes in the fleet. */
 void lw_quotacoord_set_nodes(lw_quotacoord_t *k, uint32_t nodes)
 {
 	k->nodes = nodes;
@@ -113,10 +113,10 @@
 	return b;
 }
 
-/* the part of a limit that is left for the nodes that are heard of */
+/* the share of a limit that is available to reporting nodes */
 static double available_share(const lw_quotacoord_t *k, const lw_bucket_t *b)
 {
-	double heard = k->nodes ? 1.0 - (double)k->nsilent / k->nodes : 1.0;
+	double heard = k->nodes ? 1.0 - (double)k->nunknown / k->nodes : 1.0;
 
 	return heard > b->reserved ? heard - b->reserved : 0;
 }
@@ -134,8 +134,8 @@
 }
 
 /*
- * lw_quotakeeper_limits() - a configuration is in force. A new bucket is empty: what
- * was let in before this node became a keeper is not known.
+ * lw_quotacoord_set_limits() - apply the limits of a new configuration. A new bucket is
+ * empty, as it is unknown what was admitted before this node became a coordinator.
  */
 void lw_quotacoord_set_limits(lw_quotacoord_t *k, const lw_orgs_t *orgs, uint64_t now_us)
 {
@@ -151,7 +151,7 @@
 		b = bucket_find(k, org->id);
 		if (!b)
 			b = bucket_new(k, org->id, now_us);
-		lw_bucket_advance(b, &k->terms, now_us);
+		lw_bucket_advance(b, &k->tolerance, now_us);
 		b->configured = true;
 		b->rate_per_s = org->rate_per_s;
 		b->burst = org->burst;
@@ -184,9 +184,9 @@
 }
 
 /*
- * What a report takes from the bucket. While the node was silent its part was
- * reserved: counted again, everybody would pay for a cut once it is over. Of the
- * time before its first report nothing is known.
+ * Number of requests that a report takes from the bucket. While the node was silent its
+ * share was reserved; charging it again would reduce the limit for all nodes after a
+ * partition. Nothing is known about the time before the first report.
  */
 static double charge_of(int32_t admitted, double covered_s)
 {
@@ -214,8 +214,8 @@
 }
 
 /*
- * The parts of the limits that a node on its own keeps to: those of the demand when
- * it was last heard. Of the demand since, it knows nothing.
+ * Fixes the shares of the limits that a standalone node applies: its shares of the demand
+ * at its last report. The node does not know the demand since then.
  */
 static void fix_shares(lw_quotacoord_t *k, lw_reporter_t *r)
 {
@@ -243,7 +243,7 @@
 	}
 }
 
-/* add up what is reserved for nodes that are not heard of */
+/* add up the shares that are reserved for silent nodes */
 static void reserve(lw_quotacoord_t *k, uint64_t now_us)
 {
 	lw_reporter_t *r, *next;
@@ -253,7 +253,7 @@
 		return;
 	k->reserved_us = now_us;
 	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
-		lw_bucket_advance(b, &k->terms, now_us);
+		lw_bucket_advance(b, &k->tolerance, now_us);
 		b->reserved = 0;
 	}
 	k->step++;
@@ -269,14 +269,14 @@
 		if (silent_us > SILENT_US)
 			reserve_for_node(k, r);
 	}
-	k->nsilent = k->nodes > known ? k->nodes - known : 0;
+	k->nunknown = k->nodes > known ? k->nodes - known : 0;
 	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
 		b->available = available_share(k, b);
 		b->past[k->step % LW_BUCKET_HISTORY] = b->shared;
 	}
 }
 
-/* lw_quotakeeper_took() - the node with the digest @node reports what it was asked for and let in. */
+/* lw_quotacoord_add_report() - account for a report of the node with the digest @node. */
 void lw_quotacoord_add_report(lw_quotacoord_t *k, uint64_t node, const lw_quota_usage_t *uses,
 			      size_t n, uint64_t now_us)
 {
@@ -291,14 +291,14 @@
 
 		if (!b)
 			continue;
-		lw_bucket_advance(b, &k->terms, now_us);
+		lw_bucket_advance(b, &k->tolerance, now_us);
 		b->tokens -= charge_of(uses[i].admitted, covered_s);
 		lw_bucket_add_demand(b, uses[i].asked, covered_s);
 		count_node_use(r, &uses[i], covered_s, now_us);
 	}
 }
 
-/* which organisations are limited now; of thousands, hardly any is */
+/* finds the organisations that are limited now; usually very few of thousands */
 static void compute_limited(lw_quotacoord_t *k, uint64_t now_us)
 {
 	if (now_us - k->computed_us < COMPUTE_US)
@@ -306,8 +306,8 @@
 	k->computed_us = now_us;
 	k->nlimited = 0;
 	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
-		lw_bucket_advance(b, &k->terms, now_us);
-		b->permille = lw_bucket_permille(b, &k->terms);
+		lw_bucket_advance(b, &k->tolerance, now_us);
+		b->permille = lw_bucket_permille(b, &k->tolerance);
 		if (b->permille < 1000)
 			k->limited[k->nlimited++] = b;
 	}
@@ -321,7 +321,7 @@
 			(lw_quota_grant_t){ b->org, b->permille, with_demand ? b->shared : 0 };
 }
 
-/* the demand of the next few organisations */
+/* include the demand of the next few organisations */
 static void add_round_robin_grants(lw_quotacoord_t *k, lw_quota_grant_t *out, size_t *n,
 				   size_t most)
 {
@@ -334,10 +334,11 @@
 }
 
 /*
- * lw_quotakeeper_terms() - what a node that reported @uses has to know: every
- * organisation that is limited now, and the demand of those it reported. That of
- * some others is told in turn: a node that is seldom asked by one would know its
- * part of an old demand only. One may be named twice, in the same words.
+ * lw_quotacoord_grants() - fill @out with the answer to a node that reported @uses: every
+ * organisation that is limited now, and the demand of the organisations it reported. The
+ * demand of some other organisations is included in turn, as a node that rarely gets
+ * requests of an organisation would otherwise compute its share from outdated demand. An
+ * organisation may be included twice, with the same fraction.
  */
 size_t lw_quotacoord_grants(lw_quotacoord_t *k, const lw_quota_usage_t *uses, size_t n,
 			    lw_quota_grant_t *out, size_t most, uint64_t now_us)
--- a/src/quotacoord.h
+++ b/src/quotacoord.h
@@ -1,13 +1,13 @@
 /*
- * Adds up what all nodes report of the organisations' requests, and works out
- * which part of them to let in so that each organisation stays at its limit.
+ * Quota coordinator: adds up the usage reports of all nodes and computes which fraction of
+ * each organisation's requests the nodes may admit, so that the organisation stays within
+ * its limit.
  *
- * An organisation's limit is a token bucket. It may run into debt, as reports are
- * some tenths of a second old; then less is let in until the debt is paid. For a
- * node that is not heard of, what it may be letting in on its own stays reserved,
- * so that both sides of a cut together keep to the limit. Two keepers add up the
- * same reports each for itself: neither has to hear of the other. No I/O; the time
- * is given.
+ * An organisation's limit is a token bucket. Its balance may become negative, as reports
+ * are some tenths of a second old; less is admitted until the debt is repaid. For a silent
+ * node, the share that it may be admitting as a standalone node stays reserved, so that
+ * both sides of a network partition together stay within the limit. Two coordinators add
+ * up the same reports independently of each other. No I/O; the caller passes the time.
  */
 #ifndef LW_QUOTACOORD_H
 #define LW_QUOTACOORD_H
@@ -20,9 +20,9 @@
 
 typedef struct lw_quotacoord lw_quotacoord_t;
 
-lw_quotacoord_t *lw_quotacoord_new(const lw_quota_tolerance_t *terms, uint64_t now_us);
+lw_quotacoord_t *lw_quotacoord_new(const lw_quota_tolerance_t *tolerance, uint64_t now_us);
 void lw_quotacoord_free(lw_quotacoord_t *k);
-void lw_quotacoord_set_tolerance(lw_quotacoord_t *k, const lw_quota_tolerance_t *terms);
+void lw_quotacoord_set_tolerance(lw_quotacoord_t *k, const lw_quota_tolerance_t *tolerance);
 void lw_quotacoord_set_nodes(lw_quotacoord_t *k, uint32_t nodes);
 void lw_quotacoord_set_limits(lw_quotacoord_t *k, const lw_orgs_t *orgs, uint64_t now_us);
 void lw_quotacoord_add_report(lw_quotacoord_t *k, uint64_t node, const lw_quota_usage_t *uses,
--- a/src/quotawindow.c
+++ b/src/quotawindow.c
@@ -1,4 +1,4 @@
-/* Counts over a sliding window; see quotawindow.h. */
+/* Counters over a sliding window; see quotawindow.h. */
 #include "quotawindow.h"
 
 #include <string.h>
@@ -22,14 +22,14 @@
 	}
 }
 
-/* lw_quotawindow_add() - one more, now. */
+/* lw_quotawindow_add() - count one event now. */
 void lw_quotawindow_add(lw_quotawindow_t *w, double window_s, uint64_t now_us)
 {
 	advance(w, window_s, now_us);
 	++*slice_at(w, w->newest);
 }
 
-/* lw_quotawindow_take_back() - one of late does not count after all. */
+/* lw_quotawindow_remove() - uncount one of the most recent events. */
 void lw_quotawindow_remove(lw_quotawindow_t *w, double window_s, uint64_t now_us)
 {
 	advance(w, window_s, now_us);
@@ -43,7 +43,7 @@
 	}
 }
 
-/* lw_quotawindow_sum() - how many in the window that ends now, or a little before it begins. */
+/* lw_quotawindow_sum() - events in the window that ends now, plus up to one slice before it. */
 uint32_t lw_quotawindow_sum(lw_quotawindow_t *w, double window_s, uint64_t now_us)
 {
 	uint32_t sum = 0;
--- a/src/quotawindow.h
+++ b/src/quotawindow.h
@@ -1,14 +1,14 @@
-/* A count over a sliding window, kept in slices. No I/O; the time is given. */
+/* Counter over a sliding window, divided into slices. No I/O; the caller passes the time. */
 #ifndef LW_QUOTAWINDOW_H
 #define LW_QUOTAWINDOW_H
 
 #include <stdint.h>
 
-/* Slices of a window, and the one that has just begun. */
+/* Slices of a window, and one more for the slice that is being filled. */
 #define LW_QUOTAWINDOW_SLICES	10
 #define LW_QUOTAWINDOW_COUNTERS (LW_QUOTAWINDOW_SLICES + 1)
 
-/* Zeroed is empty. */
+/* All zero is an empty window. */
 typedef struct lw_quotawindow {
 	uint64_t newest; /* number of the newest slice */
 	uint32_t count[LW_QUOTAWINDOW_COUNTERS];
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -1,7 +1,7 @@
 /*
- * Limits of organisations over a fleet of nodes and two keepers, with reports and
- * answers that take time, are lost, or find nobody: whatever happens, no window has
- * more than what is allowed, and what is below a limit is let in.
+ * Limits of organisations in a fleet of nodes with two coordinators, with reports and
+ * answers that are delayed, lost or undeliverable: no window ever has more requests than
+ * allowed, and requests below a limit are admitted.
  */
 #include <math.h>
 #include <stdio.h>
@@ -19,10 +19,10 @@
 #define MESSAGES_MAX 2048
 #define FOR_US(s)    ((uint64_t)((s)*1e6))
 
-/* a report on its way to a keeper, or its answer on the way back */
+/* a report in transit to a coordinator, or its answer on the way back */
 typedef struct message {
 	uint64_t due_us;
-	uint32_t node, keeper, number;
+	uint32_t node, coordinator, number;
 	bool answer;
 	size_t n;
 	lw_quota_usage_t uses[USES_MAX];
@@ -33,9 +33,9 @@
 	uint32_t nodes;
 	lw_orgs_t *orgs;
 	lw_quota_t *quota[NODES_MAX];
-	lw_quotacoord_t *keeper[LW_QUOTA_COORDINATORS];
+	lw_quotacoord_t *coordinator[LW_QUOTA_COORDINATORS];
 	uint32_t number[NODES_MAX][LW_QUOTA_COORDINATORS];
-	bool cut[NODES_MAX]; /* from both keepers */
+	bool cut[NODES_MAX]; /* partitioned from both coordinators */
 	bool dead[LW_QUOTA_COORDINATORS];
 	uint32_t loss_percent;
 	uint64_t latency_us;
@@ -43,8 +43,8 @@
 	size_t nmessages;
 	uint64_t now_us;
 	uint64_t rng;
-	double rate[ORGS_MAX]; /* requests a second that all nodes are asked for */
-	uint32_t only_node; /* all of them come to this one, if below the number of nodes */
+	double rate[ORGS_MAX]; /* requests per second arriving at all nodes together */
+	uint32_t only_node; /* node that receives all of them, if below the number of nodes */
 	uint32_t admitted[ORGS_MAX][LOG_STEPS];
 	uint32_t asked[ORGS_MAX][LOG_STEPS];
 	uint32_t step;
@@ -85,7 +85,7 @@
 	}
 	CU_ASSERT_EQUAL(lw_orgs_seal(f->orgs), LW_OK);
 	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++)
-		lw_quotacoord_set_limits(f->keeper[k], f->orgs, f->now_us);
+		lw_quotacoord_set_limits(f->coordinator[k], f->orgs, f->now_us);
 }
 
 static fleet_t *fleet_new(uint32_t nodes, const double *limits, size_t n, uint64_t seed)
@@ -103,8 +103,8 @@
 		lw_quota_set_nodes(f->quota[i], nodes);
 	}
 	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++) {
-		f->keeper[k] = lw_quotacoord_new(&terms, f->now_us);
-		lw_quotacoord_set_nodes(f->keeper[k], nodes);
+		f->coordinator[k] = lw_quotacoord_new(&terms, f->now_us);
+		lw_quotacoord_set_nodes(f->coordinator[k], nodes);
 	}
 	set_limits(f, limits, n);
 	return f;
@@ -115,7 +115,7 @@
 	for (uint32_t i = 0; i < f->nodes; i++)
 		lw_quota_free(f->quota[i]);
 	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++)
-		lw_quotacoord_free(f->keeper[k]);
+		lw_quotacoord_free(f->coordinator[k]);
 	lw_orgs_free(f->orgs);
 	free(f->messages);
 	free(f);
@@ -123,7 +123,7 @@
 
 static bool passes(fleet_t *f, const message_t *m)
 {
-	return !f->cut[m->node] && !f->dead[m->keeper] && draw(f) * 100 >= f->loss_percent;
+	return !f->cut[m->node] && !f->dead[m->coordinator] && draw(f) * 100 >= f->loss_percent;
 }
 
 static void put(fleet_t *f, message_t *m)
@@ -138,14 +138,15 @@
 	if (!passes(f, m))
 		return;
 	if (m->answer) {
-		if (m->number == f->number[m->node][m->keeper])
-			lw_quota_apply_grants(f->quota[m->node], m->keeper, m->terms, m->n,
+		if (m->number == f->number[m->node][m->coordinator])
+			lw_quota_apply_grants(f->quota[m->node], m->coordinator, m->terms, m->n,
 					      f->now_us);
 		return;
 	}
-	lw_quotacoord_add_report(f->keeper[m->keeper], m->node + 1, m->uses, m->n, f->now_us);
-	m->n = lw_quotacoord_grants(f->keeper[m->keeper], m->uses, m->n, m->terms, USES_MAX,
-				    f->now_us);
+	lw_quotacoord_add_report(f->coordinator[m->coordinator], m->node + 1, m->uses, m->n,
+				 f->now_us);
+	m->n = lw_quotacoord_grants(f->coordinator[m->coordinator], m->uses, m->n, m->terms,
+				    USES_MAX, f->now_us);
 	m->answer = true;
 	put(f, m);
 }
@@ -169,7 +170,7 @@
 static void report(fleet_t *f, uint32_t node)
 {
 	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++) {
-		message_t m = { .node = node, .keeper = k };
+		message_t m = { .node = node, .coordinator = k };
 
 		if (!lw_quota_report_due(f->quota[node], k, f->now_us))
 			continue;
@@ -203,7 +204,7 @@
 		deliver_due(f);
 		for (uint32_t o = 0; o < lw_orgs_count(f->orgs); o++)
 			ask(f, o);
-		/* nodes look in turn, each every 0.05 s */
+		/* each node checks every 0.05 s, staggered */
 		for (uint32_t n = f->step % 5; n < f->nodes; n += 5)
 			report(f, n);
 	}
@@ -236,7 +237,7 @@
 	return (limit * terms.window_s + limit) * (1 + terms.overage) + terms.slack;
 }
 
-/* part of what was asked for, or of the limit if that is less, that was let in */
+/* fraction that was admitted of the requests, or of the limit if that is less */
 static double served(const fleet_t *f, uint32_t org, double limit, double from_s, double to_s)
 {
 	uint32_t from = (uint32_t)(from_s * 1e6 / STEP_US), to = (uint32_t)(to_s * 1e6 / STEP_US);
@@ -265,7 +266,7 @@
 		f->rate[i] = sizes[i] / 1.6 * factor;
 }
 
-/* Guards against requests below the limit that are refused. */
+/* Guards against refused requests below the limit. */
 static void test_below_the_limit(void)
 {
 	fleet_t *f = fleet_new(81, sizes, NSIZES, 1);
@@ -277,8 +278,11 @@
 	fleet_free(f);
 }
 
-/* Guards against limits that each node keeps for itself: all together exceed them. */
-static void test_pressed_everywhere(void)
+/*
+ * Guards against limits that each node applies on its own, so that all nodes together
+ * exceed them.
+ */
+static void test_overload_at_all_nodes(void)
 {
 	for (uint64_t seed = 1; seed <= 5; seed++) {
 		fleet_t *f = fleet_new(81, sizes, NSIZES, seed);
@@ -288,14 +292,17 @@
 		set_rates(f, 7.5);
 		play(f, 9);
 		for (uint32_t i = 0; i < NSIZES; i++) {
-			expect_bound(f, i, sizes[i], "pressed everywhere");
+			expect_bound(f, i, sizes[i], "overload at all nodes");
 			CU_ASSERT_TRUE(served(f, i, sizes[i], 7, 15) > 0.95);
 		}
 		fleet_free(f);
 	}
 }
 
-/* Guards against a surge on top of a burst that is over the limit before a keeper hears of it. */
+/*
+ * Guards against a surge after a burst that exceeds the limit before a coordinator
+ * receives a report.
+ */
 static void test_surge_after_a_burst(void)
 {
 	for (uint64_t seed = 1; seed <= 5; seed++) {
@@ -311,7 +318,10 @@
 	}
 }
 
-/* Guards against a limit that is refused because the requests come to one node, or to another now. */
+/*
+ * Guards against refusing requests within the limit because they all arrive at one node,
+ * or move to another one.
+ */
 static void test_at_one_node_then_at_another(void)
 {
 	fleet_t *f = fleet_new(81, sizes, NSIZES, 1);
@@ -330,8 +340,8 @@
 	fleet_free(f);
 }
 
-/* Guards against both sides of a cut using the whole limit. */
-static void test_cut(void)
+/* Guards against both sides of a network partition using the whole limit. */
+static void test_partition(void)
 {
 	for (uint64_t seed = 1; seed <= 5; seed++) {
 		for (uint32_t percent = 20; percent <= 100; percent += 40) {
@@ -348,13 +358,17 @@
 			play(f, 6);
 			for (uint32_t i = 0; i < NSIZES; i++)
 				expect_bound(f, i, sizes[i],
-					     percent < 100 ? "part cut off" : "all cut off");
+					     percent < 100 ? "some nodes partitioned" :
+							     "all nodes partitioned");
 			fleet_free(f);
 		}
 	}
 }
 
-/* Guards against a surge that begins with a cut, before the nodes know that they are on their own. */
+/*
+ * Guards against exceeding the limit in a surge that starts with a partition, before the
+ * nodes detect that they are standalone.
+ */
 static void test_surge_with_a_cut(void)
 {
 	for (uint64_t seed = 1; seed <= 5; seed++) {
@@ -366,13 +380,13 @@
 		set_rates(f, 7.5);
 		play(f, 10);
 		for (uint32_t i = 0; i < NSIZES; i++)
-			expect_bound(f, i, sizes[i], "surge with a cut");
+			expect_bound(f, i, sizes[i], "surge with a partition");
 		fleet_free(f);
 	}
 }
 
-/* Guards against a node on its own that refuses what it was always asked for. */
-static void test_cut_in_calm(void)
+/* Guards against a standalone node that refuses its usual demand. */
+static void test_partition_without_surge(void)
 {
 	fleet_t *f = fleet_new(81, sizes, NSIZES, 2);
 	double asked = 0, got = 0;
@@ -389,8 +403,11 @@
 	fleet_free(f);
 }
 
-/* Guards against a keeper that dies, or begins anew knowing nothing, and hands out the limit again. */
-static void test_keeper_begins_anew(void)
+/*
+ * Guards against a coordinator that crashes, or restarts without state, and grants the
+ * limit a second time.
+ */
+static void test_coordinator_restarts(void)
 {
 	for (uint64_t seed = 1; seed <= 5; seed++) {
 		fleet_t *f = fleet_new(81, sizes, NSIZES, seed);
@@ -402,21 +419,21 @@
 			play(f, 3);
 			f->dead[k] = true;
 			play(f, 1.5);
-			lw_quotacoord_free(f->keeper[k]);
-			f->keeper[k] = lw_quotacoord_new(&terms, f->now_us);
-			lw_quotacoord_set_nodes(f->keeper[k], f->nodes);
-			lw_quotacoord_set_limits(f->keeper[k], f->orgs, f->now_us);
+			lw_quotacoord_free(f->coordinator[k]);
+			f->coordinator[k] = lw_quotacoord_new(&terms, f->now_us);
+			lw_quotacoord_set_nodes(f->coordinator[k], f->nodes);
+			lw_quotacoord_set_limits(f->coordinator[k], f->orgs, f->now_us);
 			f->dead[k] = false;
 		}
 		for (uint32_t i = 0; i < NSIZES; i++) {
-			expect_bound(f, i, sizes[i], "keeper begins anew");
+			expect_bound(f, i, sizes[i], "coordinator restarts");
 			CU_ASSERT_TRUE(served(f, i, sizes[i], 1, 18) > 0.85);
 		}
 		fleet_free(f);
 	}
 }
 
-/* Guards against a lower limit that the nodes go on exceeding. */
+/* Guards against nodes that go on exceeding a lowered limit. */
 static void test_lower_limit(void)
 {
 	static const double lower[NSIZES] = { 58, 33, 14, 7, 3, 2, 2, 1 };
@@ -431,7 +448,10 @@
 	fleet_free(f);
 }
 
-/* Guards against losses, cuts, kills and surges in any order that add up to more than is allowed. */
+/*
+ * Guards against message losses, partitions, crashes and surges in any order that add up
+ * to more than is allowed.
+ */
 static void test_search(void)
 {
 	for (uint64_t seed = 1; seed <= 40; seed++) {
@@ -454,19 +474,19 @@
 	}
 }
 
-/* suite_quota() - registers the suite. */
+/* suite_quota() - register the tests of this file. */
 void suite_quota(void)
 {
 	CU_pSuite s = CU_add_suite("quota", NULL, NULL);
 
 	CU_add_test(s, "below_the_limit", test_below_the_limit);
-	CU_add_test(s, "pressed_everywhere", test_pressed_everywhere);
+	CU_add_test(s, "overload_at_all_nodes", test_overload_at_all_nodes);
 	CU_add_test(s, "surge_after_a_burst", test_surge_after_a_burst);
 	CU_add_test(s, "at_one_node_then_at_another", test_at_one_node_then_at_another);
-	CU_add_test(s, "cut", test_cut);
+	CU_add_test(s, "partition", test_partition);
 	CU_add_test(s, "surge_with_a_cut", test_surge_with_a_cut);
-	CU_add_test(s, "cut_in_calm", test_cut_in_calm);
-	CU_add_test(s, "keeper_begins_anew", test_keeper_begins_anew);
+	CU_add_test(s, "partition_without_surge", test_partition_without_surge);
+	CU_add_test(s, "coordinator_restarts", test_coordinator_restarts);
 	CU_add_test(s, "lower_limit", test_lower_limit);
 	CU_add_test(s, "search", test_search);
 }
