--- a/src/notice.c
+++ b/src/notice.c
@@ -1,4 +1,4 @@
-/* What backend servers announce of themselves; see notice.h. */
+/* Self-announcements of backend servers; see notice.h. */
 #include "notice.h"
 
 #include <stdlib.h>
@@ -6,13 +6,13 @@
 #include <strings.h>
 #include <xxhash.h>
 
-/* the headers that announce something */
+/* headers that contain announcements */
 static const lw_header_t announcement_headers[] = { LW_HEADER_LEAVING, LW_HEADER_LIMIT };
 #define NANNOUNCEMENT_HEADERS (sizeof(announcement_headers) / sizeof(announcement_headers[0]))
 /* longest text of a limit, in bytes */
 #define LIMIT_TEXT_MAX 15
 
-/* digits, at most one point among them, at least one digit on each side of it */
+/* digits with at most one decimal point, which has a digit on each side */
 static bool is_decimal(lw_str_t s)
 {
 	bool point = false;
@@ -43,8 +43,8 @@
 }
 
 /*
- * lw_notice_field() - take over one header of an answer, of a known @meaning, into
- * @said, which is all zeroes before the first.
+ * lw_notice_parse_field() - add one response header, whose @meaning is known, to @fields,
+ * which is all zero before the first call.
  */
 void lw_notice_parse_field(lw_notice_fields_t *said, lw_header_t meaning, lw_str_t value)
 {
@@ -84,9 +84,9 @@
 }
 
 /*
- * lw_notice_in_head() - the same for all header lines of @head, CRLF each. A node
- * that passes an answer on reads it itself: the node beside the server may be of a
- * version that does not.
+ * lw_notice_parse_head() - do the same for all header lines of @head, which end in CRLF.
+ * The node that passes a response on parses the header itself, as the node on the server's
+ * host may run a version that does not.
  */
 void lw_notice_parse_head(lw_notice_fields_t *said, lw_str_t head, const lw_wirenames_t *names)
 {
@@ -101,7 +101,7 @@
 	}
 }
 
-/* lw_notice_server() - digest of a backend server's id, never 0. */
+/* lw_notice_server_digest() - digest of a backend server's id, never 0. */
 uint64_t lw_notice_server_digest(const char *id)
 {
 	return XXH64(id, strlen(id), 0) | 1;
@@ -117,10 +117,10 @@
 }
 
 /*
- * lw_notice_limit_hear() - an answer, to a request that was sent at @sent_us, names
- * this limit or none; true if that changes it. Answers may come in another order than
- * they were given in: a lower limit counts at once, a higher one or none only in the
- * answer to a request that was sent after the lower one was heard.
+ * lw_notice_limit_from_response() - apply the limit, or its absence, in the response to a
+ * request sent at @sent_us; true if that changes the limit. Responses may arrive out of
+ * order: a lower limit applies at once, a higher one or none only if its request was sent
+ * after the lower limit was received.
  */
 bool lw_notice_limit_from_response(lw_notice_limit_t *l, const lw_notice_fields_t *said,
 				   uint64_t sent_us, uint64_t now_us)
@@ -134,9 +134,9 @@
 }
 
 /*
- * lw_notice_limit_told() - another node has heard of this limit; true if that changes
- * it. It counts where the server itself has not been heard yet, as in a process that
- * has just started.
+ * lw_notice_limit_from_peer() - apply a limit that another node reports; true if that
+ * changes the limit. It applies only until a response of the server itself has been
+ * received, as in a process that has just started.
  */
 bool lw_notice_limit_from_peer(lw_notice_limit_t *l, double per_s)
 {
@@ -145,7 +145,10 @@
 	return set_limit(l, true, per_s);
 }
 
-/* lw_notice_is_of() - whether @n is of the process @born_ms of server @id; a start that is not told matches any. */
+/*
+ * lw_notice_matches() - whether @n is about the process of server @id that started at
+ * @born_ms; an unknown start matches any.
+ */
 bool lw_notice_matches(const lw_notice_t *n, const char *id, uint64_t born_ms)
 {
 	return n->server && n->server == lw_notice_server_digest(id) &&
--- a/src/notice.h
+++ b/src/notice.h
@@ -1,8 +1,8 @@
 /*
- * What a backend server announces of itself in the heads of its answers, beside
- * its entry in the store, and what nodes tell each other of that. Load pattern: a
- * server leaves or is in need, and its answers say so before the store does, or
- * while the store cannot be read. No I/O; the time is given.
+ * What a backend server announces about itself in response headers, in addition to its
+ * entry in the store, and what nodes report to each other about it. Load pattern: a server
+ * is leaving or overloaded, and its responses show this before the store does, or while
+ * the store cannot be read. No I/O; the caller passes the time.
  */
 #ifndef LW_NOTICE_H
 #define LW_NOTICE_H
@@ -13,26 +13,26 @@
 #include "lwstr.h"
 #include "wirenames.h"
 
-/* What one answer says. */
+/* The announcements of one response. */
 typedef struct lw_notice_fields {
 	bool leaving;
 	bool limited;
-	bool limit_invalid; /* it names one that is no number, or two: that says nothing */
-	double limit_per_s; /* requests a second that the server takes from all hosts */
+	bool limit_invalid; /* the limit is not a number or is given twice; it is ignored */
+	double limit_per_s; /* requests per second that the server accepts from all hosts together */
 } lw_notice_fields_t;
 
-/* The limit that a process of a server has named so far. */
+/* The newest limit that a server process has announced. */
 typedef struct lw_notice_limit {
 	bool on;
 	double per_s;
-	uint64_t updated_us; /* when its newest word came; 0: none did */
+	uint64_t updated_us; /* time of the newest response; 0: none received */
 } lw_notice_limit_t;
 
-/* What is known of one process of a backend server. */
+/* What is known about one process of a backend server. */
 typedef struct lw_notice {
 	uint64_t server; /* digest of its id; 0: nothing is known */
-	uint64_t born_ms; /* start of the process; 0: not told */
-	bool leaving; /* never taken back */
+	uint64_t born_ms; /* start time of the process; 0: unknown */
+	bool leaving; /* final: a process that is leaving never becomes available again */
 	bool limited;
 	double limit_per_s;
 } lw_notice_t;
--- a/tests/test_notice.c
+++ b/tests/test_notice.c
@@ -1,4 +1,4 @@
-/* What backend servers announce in their answers, and who believes it for how long. */
+/* Self-announcements of backend servers, and for how long the nodes act on them. */
 #include <stdio.h>
 #include <string.h>
 
@@ -31,15 +31,15 @@
 	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 X\r\nServer-Leaving").leaving);
 }
 
-/* What may happen to a host that is used, in any order and any number of times. */
+/* Events at a host in use, in any order and any number of times. */
 typedef enum lw_place_event {
-	ANSWER_LEAVING, /* an answer that says so is passed on */
-	ANSWER_PLAIN, /* one that does not: an older one, late */
-	NODE_LEAVING, /* the node beside it says so */
-	NODE_PLAIN, /* one that has started anew and knows nothing */
-	NODE_OTHER, /* that of the server that was at the address before */
-	LIST_READY, /* the entry says ready, as in a copy of the store */
-	LIST_WITHOUT, /* the entry has lapsed */
+	ANSWER_LEAVING, /* a response that announces leaving is passed on */
+	ANSWER_PLAIN, /* a response that does not: an older one, late */
+	NODE_LEAVING, /* the node on its host reports that it is leaving */
+	NODE_PLAIN, /* a restarted node without that state reports */
+	NODE_OTHER, /* the report is about the previous server at the address */
+	LIST_READY, /* the entry is ready, as in a restored copy of the store */
+	LIST_WITHOUT, /* the entry has expired */
 	NODE_LOST,
 	PLACE_EVENTS
 } lw_place_event_t;
@@ -74,7 +74,7 @@
 	return load;
 }
 
-/* true once the node is bound by what it passed on */
+/* true once the node must act on what it passed on */
 static bool apply_event(lw_place_t *p, lw_place_host_t *h, lw_place_event_t what, uint64_t now_us)
 {
 	lw_load_t load = load_of(what);
@@ -101,7 +101,7 @@
 	}
 }
 
-/* plays the steps that @run names; false if a rule is broken */
+/* plays the events encoded in @run; false if a rule is violated */
 static bool play(uint32_t run)
 {
 	lw_place_t p;
@@ -112,7 +112,7 @@
 	lw_place_init(&p, "a", "10.0.0.9:80", 7000, (lw_retryterms_t){ 0 });
 	apply_list(&p, 1000, now_us);
 	h = picked(&p, now_us);
-	h->refs++; /* a request of this node is under way there */
+	h->refs++; /* a request of this node is in flight at the host */
 	for (int i = 0; i < DEPTH; i++, run /= PLACE_EVENTS) {
 		now_us += 200000;
 		bound |= apply_event(&p, h, (lw_place_event_t)(run % PLACE_EVENTS), now_us);
@@ -124,7 +124,10 @@
 	return good;
 }
 
-/* Guards against a server that gets work after its leaving was passed on, or whose next process gets none. */
+/*
+ * Guards against a server that gets requests after its departure was passed on, or whose
+ * next process gets none.
+ */
 static void test_leaving_in_any_order(void)
 {
 	uint32_t runs = 1, bad = 0;
@@ -160,10 +163,10 @@
 	CU_ASSERT_FALSE(fields_of("H\r\nA: 1\r\n").limit_invalid);
 }
 
-/* requests of a run: the first ones are sent together, the others after as many answers */
+/* requests of a run: the first ones are sent together, each other one after a further answer */
 #define ASKED	 5
 #define TOGETHER 3
-/* none, a lower and a higher limit */
+/* no limit, a lower and a higher limit */
 #define LIMITS 3
 
 static lw_notice_fields_t fields_with_limit(uint32_t number)
@@ -173,7 +176,7 @@
 	return (lw_notice_fields_t){ .limited = number > 0, .limit_per_s = limits[number] };
 }
 
-/* the @k-th order in which @n answers may come */
+/* the @k-th permutation of @n answers */
 static void order_of(uint32_t k, uint32_t n, uint32_t *out)
 {
 	uint32_t left[ASKED];
@@ -194,7 +197,7 @@
 	return l->on ? l->per_s : 1e9;
 }
 
-/* whether an older word raised the limit over a newer one, or the last word does not count */
+/* false if an older answer raised the limit of a newer one, or the last answer does not apply */
 static bool play_limits(uint32_t limits_played, uint32_t order)
 {
 	uint32_t said[ASKED], at[ASKED];
@@ -211,9 +214,9 @@
 		double before = bound(&l);
 
 		if (sent > i)
-			return true; /* cannot be: answered before it was sent */
+			return true; /* impossible: answered before it was sent */
 		w = fields_with_limit(said[n]);
-		/* an answer comes a microsecond after what it allows to be sent */
+		/* a request is sent 5 us after the answer that allows it */
 		lw_notice_limit_from_response(&l, &w, 10 * sent + 5, 10 * (i + 1));
 		if (bound(&l) > before && n < newest && said[newest] > 0 &&
 		    bound(&l) > fields_with_limit(said[newest]).limit_per_s)
@@ -225,7 +228,7 @@
 	return l.on == w.limited && l.per_s == w.limit_per_s;
 }
 
-/* Guards against a limit that is lifted by an answer which is older than it, or that holds for good. */
+/* Guards against a limit that is lifted by an answer older than the limit, or that never ends. */
 static void test_limit_in_any_order(void)
 {
 	uint32_t bad = 0;
@@ -236,7 +239,10 @@
 	CU_ASSERT_EQUAL(bad, 0);
 }
 
-/* Guards against a process that starts anew and takes what others remember for newer than the server's word. */
+/*
+ * Guards against a restarted process that takes a limit remembered by other nodes for
+ * newer than the server's own answer.
+ */
 static void test_limit_told_by_others(void)
 {
 	lw_notice_limit_t l = { 0 };
@@ -251,14 +257,14 @@
 	CU_ASSERT_FALSE(lw_notice_limit_from_peer(&l, 5));
 }
 
-/* arrivals of the last seconds, by a tenth of a second */
+/* length of the checked span and of the run, in tenths of a second */
 #define TENTHS	       10
 #define SPAN_TEN       (4 * TENTHS)
 #define RUN_TEN	       3000
 #define STEP_US	       100000
 #define ALLOWED(limit) (1.5 * (limit)*4 + 5)
 
-/* Guards against more than a server takes, also as the limit changes and its node starts anew. */
+/* Guards against exceeding a server's limit, also when the limit changes or the node restarts. */
 static void test_pace_in_any_span(void)
 {
 	static uint32_t came[RUN_TEN];
@@ -295,7 +301,7 @@
 	CU_ASSERT_EQUAL(bad, 0);
 }
 
-/* Guards against a limit that is kept by letting in far less. */
+/* Guards against a limit that is met by admitting far less than it allows. */
 static void test_pace_is_used(void)
 {
 	lw_pace_t p = { 0 };
@@ -316,7 +322,7 @@
 	CU_ASSERT_EQUAL(lw_pace_wait_ms(&p, 50, 900000000), 0);
 }
 
-/* suite_notice() - registers the suite. */
+/* suite_notice() - register the tests of this file. */
 void suite_notice(void)
 {
 	CU_pSuite s = CU_add_suite("notice", NULL, NULL);
