--- a/src/serverset.c
+++ b/src/serverset.c
@@ -10,49 +10,47 @@
 #include "xalloc.h"
 
 /*
- * A server that lives has written its entry again within about two seconds of
- * the store's return; one missing after that is gone. Unit us.
+ * A live server re-registers within about two seconds of the store's return; a server that
+ * is missing after that is gone. Unit us.
  */
 #define REREGISTER_US 2100000
 /*
- * A failed call is no outage: entries lapse after several heartbeats only. A
- * server that left while one call failed would count for two seconds more on
- * every node, longer than a leaving server may get work. So long must the store
- * have answered nobody. Unit us.
+ * A single failed call is not an outage, as entries expire only after several missed
+ * heartbeats. If it were, a server that left while one call failed would count as present
+ * for two more seconds on every node, longer than a leaving server may get requests. The
+ * store must have answered no node for this long. Unit us.
  */
 #define OUTAGE_MIN_US 2000000
 
 /*
- * An entry that only an older copy of the store has is of a server that left, or
- * of one that has just come. It lapses, or is written again, within three heartbeats.
- * Unit us.
+ * An entry that only the restored copy of the store contains belongs to a server that
+ * left, or to one that has just started. Within three heartbeats it either expires or is
+ * written again. Unit us.
  */
 #define UNPROVEN_US 5000000
 
 typedef struct lw_member {
 	lw_server_entry_t entry;
-	bool unproven; /* it came with a copy of the store, and was not known before */
-	bool missing; /* removed from the store, not yet taken as gone */
-	bool seen; /* in the read under way */
+	bool unproven; /* read from a restored copy of the store and not known before */
+	bool missing; /* removed from the store, but still counts as present */
+	bool seen; /* found in the current read */
 	UT_hash_handle hh;
 	UT_hash_handle by_addr;
 } lw_member_t;
 
 struct lw_serverset {
 	lw_member_t *members;
-	uint64_t unreachable_since_us; /* since when the store does not answer; 0: it does */
-	uint64_t reachable_revision; /* of the store when it was back */
-	uint64_t hold_until_us; /* missing entries still count until then */
-	bool restoring; /* what is read now came with a copy of the store */
-	uint64_t
-		unproven_until_us; /* unproven entries do not count until then; 0: there are none */
+	uint64_t unreachable_since_us; /* since when the store has not answered; 0: it answers */
+	uint64_t reachable_revision; /* revision of the store when it became reachable */
+	uint64_t hold_until_us; /* until when missing entries still count */
+	bool restoring; /* the current read is of a restored copy of the store */
+	uint64_t unproven_until_us; /* unproven entries do not count until then; 0: none */
 	bool any_missing; /* some entries are missing and still count */
 	bool changed;
-	lw_fleetconf_t
-		*known_services; /* services that the configuration names; NULL: not told yet */
+	lw_fleetconf_t *known_services; /* services named by the configuration; NULL: not set yet */
 };
 
-/* lw_serverset_new() - no entries. */
+/* lw_serverset_new() - an empty set. */
 lw_serverset_t *lw_serverset_new(void)
 {
 	return xcalloc(1, sizeof(lw_serverset_t));
@@ -78,9 +76,9 @@
 }
 
 /*
- * lw_serverset_know() - entries count only if @fc names their service. An
- * entry of another writer with the address of a living server and a service
- * that does not exist would otherwise take that server's place.
+ * lw_serverset_set_services() - from now on, entries count only if @fc contains their
+ * service. Otherwise a foreign entry with the address of a live server and a service that
+ * does not exist would replace that server.
  */
 void lw_serverset_set_services(lw_serverset_t *s, const lw_fleetconf_t *fc)
 {
@@ -100,7 +98,7 @@
 	       lw_fleetconf_service(s->known_services, m->entry.service);
 }
 
-/* a heartbeat rewrites the entry; only some of its parts matter */
+/* whether the parts that matter differ; a heartbeat rewrites the whole entry */
 static bool differs(const lw_server_entry_t *a, const lw_server_entry_t *b)
 {
 	return strcmp(a->addr, b->addr) || strcmp(a->service, b->service) ||
@@ -108,16 +106,16 @@
 	       a->born_ms != b->born_ms;
 }
 
-/* @a was written by an earlier process of the server than @b; unknown starts are equal */
+/* @a was written by an earlier process of the server than @b; unknown start times are equal */
 static bool is_older(const lw_server_entry_t *a, const lw_server_entry_t *b)
 {
 	return a->born_ms && b->born_ms && a->born_ms < b->born_ms;
 }
 
 /*
- * lw_serverset_put() - an entry was written. A process never takes its drain
- * back; one that started later under the same id begins anew, and what an
- * earlier one wrote late says nothing.
+ * lw_serverset_put() - an entry was written. A process never reverts to not draining. A
+ * process that started later under the same id starts without that state, and late writes
+ * of an earlier process are ignored.
  */
 void lw_serverset_put(lw_serverset_t *s, const lw_server_entry_t *e)
 {
@@ -151,8 +149,8 @@
 }
 
 /*
- * lw_serverset_remove() - an entry was removed from the store at @revision. One
- * that is removed after the store's return did not lapse in the outage.
+ * lw_serverset_remove() - an entry was removed from the store at @revision. An entry that
+ * is removed after the store's return did not expire because of the outage.
  */
 void lw_serverset_remove(lw_serverset_t *s, const char *id, uint64_t revision)
 {
@@ -170,14 +168,14 @@
 	s->any_missing = true;
 }
 
-/* lw_serverset_begin() - every entry is read anew from here on. */
+/* lw_serverset_begin_read() - a complete read of all entries starts. */
 void lw_serverset_begin_read(lw_serverset_t *s)
 {
 	for (lw_member_t *m = s->members; m; m = m->hh.next)
 		m->seen = false;
 }
 
-/* lw_serverset_end() - that read is complete: entries not in it are removed. */
+/* lw_serverset_end_read() - the read is complete: entries not found in it are removed. */
 void lw_serverset_end_read(lw_serverset_t *s)
 {
 	for (lw_member_t *m = s->members; m; m = m->hh.next)
@@ -188,8 +186,8 @@
 }
 
 /*
- * lw_serverset_seed() - what was known is old: from now on it is what the fleet has
- * in use, drains included.
+ * lw_serverset_replace() - discard outdated entries and start from the list that the fleet
+ * uses, including which servers are draining.
  */
 void lw_serverset_replace(lw_serverset_t *s, const lw_serverlist_t *in_use)
 {
@@ -208,16 +206,16 @@
 	s->any_missing = false;
 }
 
-/* lw_serverset_restoring() - the store came back from an older copy, which is read now. */
+/* lw_serverset_begin_restore() - the store was restored from an older copy, which is read now. */
 void lw_serverset_begin_restore(lw_serverset_t *s)
 {
 	s->restoring = true;
 }
 
 /*
- * lw_serverset_restored() - the copy was read, at @revision. What it does not have
- * still counts while its servers may write it again; what it has and nobody knew
- * does not count before it is written again, or has stayed.
+ * lw_serverset_end_restore() - the copy has been read, at @revision. Entries that it lacks
+ * still count while their servers may re-register; entries that were not known before
+ * count only once they are written again or have remained for UNPROVEN_US.
  */
 void lw_serverset_end_restore(lw_serverset_t *s, uint64_t now_us, uint64_t revision)
 {
@@ -228,9 +226,9 @@
 }
 
 /*
- * lw_serverset_resume() - the store is read again after a time in which it was
- * not. Others have read it meanwhile: whatever outage there was, is over, and
- * entries that are missing now are gone.
+ * lw_serverset_resume() - this node reads the store again after a time in which it did
+ * not. Other nodes have read the store meanwhile, so any outage is over, and entries that
+ * are missing now are gone.
  */
 void lw_serverset_resume(lw_serverset_t *s)
 {
@@ -240,9 +238,9 @@
 }
 
 /*
- * lw_serverset_store_away() - a call to the store failed; it last answered
- * anybody at @last_us, as far as known. A node that begins to read in an
- * outage sees only its end.
+ * lw_serverset_store_unreachable() - a call to the store failed; as far as known, the
+ * store last answered any node at @last_us. A node that starts to read during an outage
+ * sees only the end of the outage.
  */
 void lw_serverset_store_unreachable(lw_serverset_t *s, uint64_t last_us)
 {
@@ -250,7 +248,7 @@
 		s->unreachable_since_us = last_us;
 }
 
-/* lw_serverset_store_back() - the store answers, at @revision; it may have been away. */
+/* lw_serverset_store_reachable() - the store answers, at @revision, possibly after an outage. */
 void lw_serverset_store_reachable(lw_serverset_t *s, uint64_t now_us, uint64_t revision)
 {
 	if (s->unreachable_since_us && now_us - s->unreachable_since_us >= OUTAGE_MIN_US) {
@@ -284,8 +282,8 @@
 }
 
 /*
- * Whether @a was written before @b. What was written before the store came back
- * from a copy and what the copy has are not in one order: the servers' starts tell.
+ * Whether @a was written before @b. Entries from before and after a restore of the store
+ * have no common order; the start times of the servers decide then.
  */
 static bool written_before(const lw_server_entry_t *a, const lw_server_entry_t *b)
 {
@@ -295,9 +293,9 @@
 }
 
 /*
- * The newest entry of each address. The entry of a server that died stays
- * until it lapses, seconds after another has started in its place; work sent
- * to it is turned away. After a power failure of the whole fleet that was
+ * The newest entry of each address. The entry of a crashed server remains until it
+ * expires, seconds after another server has started at its address, and requests sent
+ * according to it are rejected. After a power failure of the whole fleet, that affected
  * half of all requests for two seconds.
  */
 static lw_member_t *newest_by_addr(lw_serverset_t *s)
@@ -317,15 +315,15 @@
 	return newest;
 }
 
-/* lw_serverset_empty() - no entry was seen, or all have gone. */
+/* lw_serverset_empty() - no entry was read yet, or all have been removed. */
 bool lw_serverset_empty(const lw_serverset_t *s)
 {
 	return !s->members;
 }
 
 /*
- * lw_serverset_changed() - the servers that count as there, if that differs
- * from the last list returned; else NULL. The caller owns the list.
+ * lw_serverset_take_changes() - the servers that count as present, if they differ from the
+ * last list returned; else NULL. The caller owns the list.
  */
 lw_serverlist_t *lw_serverset_take_changes(lw_serverset_t *s, uint64_t now_us)
 {
--- a/src/serverset.h
+++ b/src/serverset.h
@@ -1,10 +1,10 @@
 /*
- * The backend servers' entries as they come and go in the store, and which of
- * them count as there. Failure it guards against: while the store is away
- * entries lapse although their servers live; taking them as gone empties the
- * fleet the moment the store returns. A store that returns from an older copy lacks
- * what was written since, and has what was removed since. Revisions are places in
- * its history (storepos.h). No I/O; the time is given.
+ * Entries of backend servers as they are written to and removed from the store, and which
+ * of these servers count as present. Failure it guards against: while the store is
+ * unreachable, entries expire although their servers are alive; removing them would empty
+ * the fleet as soon as the store returns. A store that is restored from an older copy
+ * lacks what was written since, and still contains what was removed since. Revisions are
+ * positions in the store's history (storepos.h). No I/O; the caller passes the time.
  */
 #ifndef LW_SERVERSET_H
 #define LW_SERVERSET_H
