--- a/src/credential.c
+++ b/src/credential.c
@@ -1,10 +1,10 @@
-/* Keys in heads of requests; see credential.h. */
+/* API keys in request heads; see credential.h. */
 #include "credential.h"
 
 #include <string.h>
 #include <strings.h>
 
-/* the key behind "SCHEME " in a header's value; the scheme without regard to case (RFC 9110, 11.1) */
+/* the key after "SCHEME " in a header value; the scheme is case-insensitive (RFC 9110, 11.1) */
 static bool read_value(lw_str_t value, const char *scheme, lw_str_t *key)
 {
 	size_t len = strlen(scheme);
@@ -21,7 +21,7 @@
 	return value.len > 0;
 }
 
-/* lw_credential_read() - the key in @h, sent by @scheme; it points into the head. */
+/* lw_credential_read() - find the key of @scheme in @h; @key points into the head. */
 lw_credential_t lw_credential_read(const lw_httphead_t *h, const char *scheme, lw_str_t *key)
 {
 	lw_credential_t found = LW_CREDENTIAL_NONE;
--- a/src/organisation.c
+++ b/src/organisation.c
@@ -1,4 +1,4 @@
-/* Organisations and their keys; see organisation.h. */
+/* Organisations and their API keys; see organisation.h. */
 #include "organisation.h"
 
 #include <nettle/memops.h>
@@ -8,35 +8,35 @@
 
 #include "xalloc.h"
 
-/* places in the hash table for each key: at most half of them are taken */
+/* slots of the hash table per key: at most half of the slots are used */
 #define SLOTS_PER_KEY 2
 
-/* a key as it was added: its text lies in the arena */
+/* a key; its text is stored in lw_orgs.text */
 typedef struct lw_orgkey {
 	uint64_t digest;
 	uint32_t at;
 	uint16_t len;
-	uint32_t org; /* index, plus one; 0: the place is free */
+	uint32_t org; /* index plus one; 0: the slot is free */
 } lw_orgkey_t;
 
 struct lw_orgs {
 	lw_organisation_t *orgs;
 	size_t norgs;
-	lw_orgkey_t *keys; /* in the order they were added; NULL once sealed */
+	lw_orgkey_t *keys; /* in the order of addition; NULL once sealed */
 	size_t nkeys;
-	char *text; /* of all keys, one after the other */
+	char *text; /* concatenated text of all keys */
 	size_t textlen;
 	lw_orgkey_t *slots; /* hash table with linear probing, once sealed */
 	size_t nslots; /* a power of two */
 };
 
-/* lw_orgs_new() - no organisations yet. */
+/* lw_orgs_new() - an empty table. */
 lw_orgs_t *lw_orgs_new(void)
 {
 	return xcalloc(1, sizeof(lw_orgs_t));
 }
 
-/* lw_orgs_free() - release them; NULL is fine. */
+/* lw_orgs_free() - release the table; NULL is fine. */
 void lw_orgs_free(lw_orgs_t *o)
 {
 	if (!o)
@@ -48,7 +48,10 @@
 	free(o);
 }
 
-/* lw_orgs_add() - one more; keys added from now on are its own. Valid until the next one. */
+/*
+ * lw_orgs_add() - add an organisation; keys added from now on are its keys. The pointer is
+ * valid until the next call.
+ */
 lw_organisation_t *lw_orgs_add(lw_orgs_t *o, lw_str_t name)
 {
 	lw_organisation_t *org;
@@ -61,7 +64,10 @@
 	return org;
 }
 
-/* lw_orgs_add_key() - a key of the organisation added last; empty and overlong ones never match. */
+/*
+ * lw_orgs_add_key() - add a key of the last added organisation; empty and overlong keys
+ * never match.
+ */
 void lw_orgs_add_key(lw_orgs_t *o, lw_str_t key)
 {
 	lw_orgkey_t *k;
@@ -79,14 +85,14 @@
 	o->textlen += key.len;
 }
 
-/* compared in constant time: how long it takes tells nothing of a key */
+/* compares in constant time, so that the duration reveals nothing about a key */
 static bool key_matches(const lw_orgs_t *o, const lw_orgkey_t *k, uint64_t digest, lw_str_t key)
 {
 	return k->digest == digest && k->len == key.len &&
 	       nettle_memeql_sec(o->text + k->at, key.ptr, key.len);
 }
 
-/* the place of @key in the table, or the free one where it would stand */
+/* the slot of @key in the table, or the free slot where it would be inserted */
 static lw_orgkey_t *slot_of(const lw_orgs_t *o, uint64_t digest, lw_str_t key)
 {
 	size_t at = digest & (o->nslots - 1);
@@ -106,9 +112,9 @@
 }
 
 /*
- * lw_orgs_seal() - build the table; call once after the last key is added.
- * LW_ERR_CONFIG if two organisations hold the same key: whose request it would
- * be, nobody can say.
+ * lw_orgs_seal() - build the hash table; call once after the last key is added.
+ * LW_ERR_CONFIG if two organisations have the same key, as its requests could not be
+ * attributed.
  */
 lw_status_t lw_orgs_seal(lw_orgs_t *o)
 {
@@ -130,7 +136,7 @@
 	return LW_OK;
 }
 
-/* lw_orgs_count() - how many there are. */
+/* lw_orgs_count() - number of organisations. */
 size_t lw_orgs_count(const lw_orgs_t *o)
 {
 	return o->norgs;
@@ -142,7 +148,7 @@
 	return &o->orgs[i];
 }
 
-/* lw_orgs_by_key() - the organisation that holds @key, NULL if none does. */
+/* lw_orgs_by_key() - the organisation with the key @key; NULL if there is none. */
 const lw_organisation_t *lw_orgs_by_key(const lw_orgs_t *o, lw_str_t key)
 {
 	const lw_orgkey_t *slot;
--- a/src/organisation.h
+++ b/src/organisation.h
@@ -1,9 +1,9 @@
 /*
- * The organisations of a configuration: who holds which key, and how much each
- * may ask for. Built once with its snapshot and not changed afterwards.
+ * The organisations of a configuration: their API keys, priorities and limits. Built once
+ * with its snapshot and immutable afterwards.
  *
- * The table holds a digest and the text of each key. A key is never logged and
- * never sent on.
+ * The table contains a digest and the text of each key. Keys are never logged or
+ * forwarded.
  */
 #ifndef LW_ORGANISATION_H
 #define LW_ORGANISATION_H
@@ -15,18 +15,18 @@
 #include "platconf.h"
 #include "status.h"
 
-/* Of organisations that tell none. */
+/* Priority of an organisation that specifies none. */
 #define LW_ORG_PRIORITY_DEFAULT 1
 
-/* Longer keys are no keys, in bytes. */
+/* Longer keys never match, in bytes. */
 #define LW_ORG_KEY_MAX 256
 
 typedef struct lw_organisation {
 	char name[LW_NAME_MAX];
 	uint64_t id; /* digest of the name: the same on every node and in every version */
-	uint32_t priority; /* 0 is the most urgent; goes before that of the route */
-	double rate_per_s; /* requests allowed, all nodes together; 0: no limit */
-	double burst; /* on top */
+	uint32_t priority; /* 0 is the most urgent; precedes the route's priority */
+	double rate_per_s; /* requests per second allowed at all nodes together; 0: no limit */
+	double burst; /* requests allowed in addition */
 } lw_organisation_t;
 
 typedef struct lw_orgs lw_orgs_t;
--- a/tests/test_organisation.c
+++ b/tests/test_organisation.c
@@ -1,4 +1,4 @@
-/* Organisations, their keys, and keys in heads of requests. */
+/* Organisations, their API keys, and keys in request heads. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -51,7 +51,10 @@
 	lw_fleetconf_free(fc);
 }
 
-/* Guards against a configuration that is taken though it does not say whose a key is. */
+/*
+ * Guards against accepting a configuration in which a key belongs to more than one
+ * organisation.
+ */
 static void test_document_refused(void)
 {
 	static const struct {
@@ -77,7 +80,10 @@
 	}
 }
 
-/* The organisation's priority goes before the route's; where there is none, the route's alone counts. */
+/*
+ * The organisation's priority precedes the route's; without organisations only the route's
+ * counts.
+ */
 static void test_priority(void)
 {
 	lw_fleetconf_t *fc = parse(DOC("[" ORG("red", "[\"k1\"]", ",\"priority\":0") "," ORG(
@@ -103,7 +109,10 @@
 	lw_fleetconf_free(fc);
 }
 
-/* Guards against keys that are found by a part, a prefix, or another key's place in a full table. */
+/*
+ * Guards against keys that match by a part, by a prefix, or by another key's slot in a
+ * full table.
+ */
 static void test_many_keys(void)
 {
 	lw_orgs_t *o = lw_orgs_new();
@@ -132,7 +141,7 @@
 	lw_orgs_free(o);
 }
 
-/* what is found in a head with the header lines @lines */
+/* parses a head with the header lines @lines and returns its credential */
 static lw_credential_t credential_in(const char *lines, char *key, size_t len)
 {
 	static lw_httphead_t head;
@@ -151,7 +160,7 @@
 	return kind;
 }
 
-/* Guards against a key that is read from a head which others read otherwise. */
+/* Guards against reading a key from a head that other servers read differently. */
 static void test_credential(void)
 {
 	static const struct {
@@ -181,7 +190,10 @@
 	}
 }
 
-/* Guards against a request of one organisation that is held back for what another one sent. */
+/*
+ * Guards against holding back a request of one organisation because of a request of
+ * another one.
+ */
 static void test_digest(void)
 {
 	static const char one[] = "GET /x HTTP/1.1\r\nHost: a\r\nX-Org: red\r\nX-Id: 1\r\n";
@@ -196,7 +208,7 @@
 	CU_ASSERT_NOT_EQUAL(a.value.head, c.value.head);
 }
 
-/* suite_organisation() - registers the suite. */
+/* suite_organisation() - register the tests of this file. */
 void suite_organisation(void)
 {
 	CU_pSuite s = CU_add_suite("organisation", NULL, NULL);
