--- a/src/revdoc.c
+++ b/src/revdoc.c
@@ -1,4 +1,4 @@
-/* Documents in several versions; see revdoc.h. */
+/* Versioned documents and their differences; see revdoc.h. */
 #include "revdoc.h"
 
 #include <stdlib.h>
@@ -36,7 +36,7 @@
 		encoded_free(&d->encoded[i]);
 }
 
-/* lw_revdoc_free() - release all versions; there is none afterwards. */
+/* lw_revdoc_free() - release all versions; the document is empty afterwards. */
 void lw_revdoc_free(lw_revdoc_t *d)
 {
 	for (size_t i = 0; i < LW_REVDOC_VERSIONS; i++)
@@ -44,27 +44,27 @@
 	forget_encoded(d);
 }
 
-/* lw_revdoc_version() - the newest version; 0: there is none. */
+/* lw_revdoc_version() - the newest version; 0 if there is none. */
 uint64_t lw_revdoc_version(const lw_revdoc_t *d)
 {
 	return d->at[0].version;
 }
 
-/* lw_revdoc_hash() - of the newest version's bytes; 0: there is none. */
+/* lw_revdoc_hash() - hash of the newest version's content; 0 if there is none. */
 uint64_t lw_revdoc_hash(const lw_revdoc_t *d)
 {
 	return d->at[0].hash;
 }
 
-/* lw_revdoc_text() - the bytes of the newest version; they stay until the next put. */
+/* lw_revdoc_text() - content of the newest version, valid until the next put. */
 lw_str_t lw_revdoc_text(const lw_revdoc_t *d)
 {
 	return (lw_str_t){ d->at[0].bytes, d->at[0].len };
 }
 
 /*
- * lw_revdoc_put() - @bytes are the document from @version on. False if the
- * version is no newer, or if only its number is: the bytes are the same.
+ * lw_revdoc_put() - store @bytes as the document's content since @version. False if the
+ * version is not newer, or if only its number is: the content is the same.
  */
 bool lw_revdoc_put(lw_revdoc_t *d, uint64_t version, lw_str_t bytes)
 {
@@ -94,7 +94,7 @@
 	return NULL;
 }
 
-/* the window must reach back over the whole base, or most of it is not found again */
+/* the window must cover the whole base, or most matches with it would be missed */
 static int window_log(size_t base_len, size_t len)
 {
 	int log = WINDOW_LOG_MIN;
@@ -125,9 +125,9 @@
 }
 
 /*
- * lw_revdoc_encode() - the newest version for a node whose document has the
- * hash @base (0: it has none). NULL if there is no version. It stays until
- * the document changes, or as many other forms were asked for.
+ * lw_revdoc_encode() - the newest version, for a node whose document has the hash @base
+ * (0: it has none). NULL if there is no version. Valid until the document changes or
+ * LW_REVDOC_ENCODED other forms are requested.
  */
 const lw_revdoc_encoded_t *lw_revdoc_encode(lw_revdoc_t *d, uint64_t base)
 {
@@ -165,9 +165,9 @@
 }
 
 /*
- * lw_revdoc_decode() - the document that another node encoded as @e, in @out,
- * with a zero byte behind it; free() it. LW_ERR_PROTO if it is spoiled, or
- * a difference against a version that is not kept here.
+ * lw_revdoc_decode() - decode @e as received from another node. The document is returned
+ * in @out, terminated by a zero byte; free() it. LW_ERR_PROTO if @e is corrupted or too
+ * long, or is the difference from a version that is not stored here.
  */
 lw_status_t lw_revdoc_decode(const lw_revdoc_t *d, const lw_revdoc_encoded_t *e, char **out)
 {
@@ -175,16 +175,19 @@
 	char *bytes;
 
 	if (e->base && !base)
-		return lw_error(LW_ERR_PROTO,
-				"document %llu: its base is not kept here; ask for all of it",
-				(unsigned long long)e->version);
+		return lw_error(
+			LW_ERR_PROTO,
+			"document %llu: its base version is not stored here; request the whole document",
+			(unsigned long long)e->version);
 	if (e->length > LW_REVDOC_MAX_BYTES)
-		return lw_error(LW_ERR_PROTO, "document %llu: %zu bytes are too many",
+		return lw_error(LW_ERR_PROTO,
+				"document %llu: length of %zu bytes exceeds the limit",
 				(unsigned long long)e->version, e->length);
 	bytes = xmalloc(e->length + 1);
 	if (decompress(base, e, bytes) != e->length || hash_of(bytes, e->length) != e->hash) {
 		free(bytes);
-		return lw_error(LW_ERR_PROTO, "document %llu is spoiled; ask for all of it",
+		return lw_error(LW_ERR_PROTO,
+				"document %llu is corrupted; request the whole document",
 				(unsigned long long)e->version);
 	}
 	bytes[e->length] = '\0';
--- a/src/revdoc.h
+++ b/src/revdoc.h
@@ -1,7 +1,7 @@
 /*
- * A document that the whole fleet has, in its newest version and a few before.
- * Another node is sent what differs from the version that it has, compressed;
- * the whole document only if that one is not kept here any more. No I/O.
+ * A document that all nodes of the fleet have, in its newest version and a few previous
+ * ones. Another node is sent the compressed difference from the version that it has; it is
+ * sent the whole document only if that version is no longer stored here. No I/O.
  */
 #ifndef LW_REVDOC_H
 #define LW_REVDOC_H
@@ -13,24 +13,24 @@
 #include "lwstr.h"
 #include "status.h"
 
-/* Versions that are kept: a node is rarely further behind. */
+/* Number of stored versions: a node is rarely further behind. */
 #define LW_REVDOC_VERSIONS 4
-/* Encoded forms that are kept, as many nodes ask for the same one. */
+/* Number of cached encoded forms, as many nodes request the same one. */
 #define LW_REVDOC_ENCODED 4
-/* Longest document, in bytes; a peer that declares more is not believed. */
+/* Longest document, in bytes; a longer one declared by a peer is rejected. */
 #define LW_REVDOC_MAX_BYTES (4u * 1024 * 1024)
 
 typedef struct lw_revdoc_version {
-	uint64_t version; /* 0: there is none */
-	uint64_t hash; /* of the bytes */
+	uint64_t version; /* 0: unused */
+	uint64_t hash; /* of the content */
 	char *bytes;
 	size_t len;
 } lw_revdoc_version_t;
 
-/* The newest version as it is sent to a node that has @base. */
+/* The newest version, encoded for a node whose document has the hash @base. */
 typedef struct lw_revdoc_encoded {
-	uint64_t version; /* 0: not in use */
-	uint64_t base; /* hash of the version it is a difference against; 0: whole */
+	uint64_t version; /* 0: unused */
+	uint64_t base; /* hash of the version that it is the difference from; 0: whole document */
 	uint64_t hash; /* of the document */
 	size_t length; /* of the document */
 	char *bytes;
@@ -38,7 +38,7 @@
 } lw_revdoc_encoded_t;
 
 typedef struct lw_revdoc {
-	lw_revdoc_version_t at[LW_REVDOC_VERSIONS]; /* the newest first */
+	lw_revdoc_version_t at[LW_REVDOC_VERSIONS]; /* newest first */
 	lw_revdoc_encoded_t encoded[LW_REVDOC_ENCODED];
 	uint32_t next_encoded;
 } lw_revdoc_t;
