--- a/src/fingerprint.c
+++ b/src/fingerprint.c
@@ -18,7 +18,7 @@
 	sha256_update(&f->sha, len, (const uint8_t *)data);
 }
 
-/* the line that begins at @at, without its end; @next: where the one after it begins */
+/* the line that begins at @at, without its line end; @next: offset of the line after it */
 static lw_str_t line_at(lw_str_t text, size_t at, size_t *next)
 {
 	const char *end = memchr(text.ptr + at, '\r', text.len - at);
@@ -36,10 +36,10 @@
 }
 
 /*
- * lw_fingerprinter_begin() - the digest of the request with @head: its first line
- * and its header lines, CRLF each. Of these the host counts, and @org_header: what
- * one organisation sends must not hold back the same bytes of another. Some other
- * headers are new with every request.
+ * lw_fingerprinter_begin() - start the digest of the request with @head: its request line
+ * and header lines, which end in CRLF. Of the header lines only the host and @org_header
+ * are covered: a request of one organisation must not hold back an equal request of
+ * another one. Some other headers differ in every request.
  */
 void lw_fingerprinter_begin(lw_fingerprinter_t *f, lw_str_t head, const char *org_header)
 {
@@ -62,7 +62,7 @@
 	f->value.whole = 0;
 }
 
-/* lw_fingerprinter_body() - more of the body; @fin: that was all. */
+/* lw_fingerprinter_body() - add a part of the body; @fin: it was the last one. */
 void lw_fingerprinter_body(lw_fingerprinter_t *f, lw_str_t data, bool fin)
 {
 	size_t len = data.len < f->left ? data.len : f->left;
--- a/src/fingerprint.h
+++ b/src/fingerprint.h
@@ -1,9 +1,9 @@
 /*
- * Which requests are the same: a digest of the method, the host, the organisation that
- * asks, the target and
- * the first part of the body, taken as the body passes. A caller that repeats a
- * request gives it a new id; this stays. SHA-256, as callers choose the bytes and
- * must not be able to make one that passes for somebody else's. No I/O.
+ * Digest that identifies equal requests: it covers the method, the host, the organisation,
+ * the target and the first part of the body, computed as the body is forwarded. A retried
+ * request has a new id but the same digest. SHA-256, as callers choose the content and
+ * must not be able to construct a request with the digest of another caller's request. No
+ * I/O.
  */
 #ifndef LW_FINGERPRINT_H
 #define LW_FINGERPRINT_H
@@ -14,19 +14,19 @@
 
 #include "lwstr.h"
 
-/* Bytes of a body that count; what follows is not waited for. */
+/* Number of body bytes covered; the rest of the body is not waited for. */
 #define LW_FINGERPRINT_BODY_BYTES 32768
 
-/* Equal for equal requests, sent with a length or in chunks. */
+/* The same for equal requests, whether sent with a length or in chunks. */
 typedef struct lw_fingerprint {
-	uint64_t head; /* of method, target and host alone */
+	uint64_t head; /* of method, target, host and organisation */
 	uint64_t whole; /* of these and the body */
 } lw_fingerprint_t;
 
-/* The digest of one request while its body comes in. */
+/* The digest of one request while its body is received. */
 typedef struct lw_fingerprinter {
 	struct sha256_ctx sha;
-	uint32_t left; /* bytes of the body that still count */
+	uint32_t left; /* body bytes still to be covered */
 	bool known; /* value.whole is final */
 	lw_fingerprint_t value; /* value.head is final from the start */
 } lw_fingerprinter_t;
--- a/src/notice.c
+++ b/src/notice.c
@@ -28,30 +28,30 @@
 	return true;
 }
 
-static void parse_limit(lw_notice_fields_t *said, lw_str_t value)
+static void parse_limit(lw_notice_fields_t *fields, lw_str_t value)
 {
 	char text[LIMIT_TEXT_MAX + 1];
 
-	if (said->limited || said->limit_invalid || !is_decimal(value)) {
-		said->limited = false;
-		said->limit_invalid = true;
+	if (fields->limited || fields->limit_invalid || !is_decimal(value)) {
+		fields->limited = false;
+		fields->limit_invalid = true;
 		return;
 	}
 	lw_str_copy(text, sizeof(text), value);
-	said->limited = true;
-	said->limit_per_s = strtod(text, NULL);
+	fields->limited = true;
+	fields->limit_per_s = strtod(text, NULL);
 }
 
 /*
  * lw_notice_parse_field() - add one response header, whose @meaning is known, to @fields,
  * which is all zero before the first call.
  */
-void lw_notice_parse_field(lw_notice_fields_t *said, lw_header_t meaning, lw_str_t value)
+void lw_notice_parse_field(lw_notice_fields_t *fields, lw_header_t meaning, lw_str_t value)
 {
 	if (meaning == LW_HEADER_LEAVING)
-		said->leaving |= lw_str_eq_c(value, "1");
+		fields->leaving |= lw_str_eq_c(value, "1");
 	else if (meaning == LW_HEADER_LIMIT)
-		parse_limit(said, value);
+		parse_limit(fields, value);
 }
 
 static lw_str_t trimmed(lw_str_t s)
@@ -65,7 +65,7 @@
 	return s;
 }
 
-static void parse_line(lw_notice_fields_t *said, lw_str_t line, const lw_wirenames_t *names)
+static void parse_line(lw_notice_fields_t *fields, lw_str_t line, const lw_wirenames_t *names)
 {
 	const char *colon = memchr(line.ptr, ':', line.len);
 	size_t name_len;
@@ -78,7 +78,7 @@
 
 		if (strlen(name) != name_len || strncasecmp(line.ptr, name, name_len) != 0)
 			continue;
-		lw_notice_parse_field(said, announcement_headers[i],
+		lw_notice_parse_field(fields, announcement_headers[i],
 				      trimmed((lw_str_t){ colon + 1, line.len - name_len - 1 }));
 	}
 }
@@ -88,14 +88,14 @@
  * The node that passes a response on parses the header itself, as the node on the server's
  * host may run a version that does not.
  */
-void lw_notice_parse_head(lw_notice_fields_t *said, lw_str_t head, const lw_wirenames_t *names)
+void lw_notice_parse_head(lw_notice_fields_t *fields, lw_str_t head, const lw_wirenames_t *names)
 {
 	while (head.len) {
 		const char *end = memmem(head.ptr, head.len, "\r\n", 2);
 		size_t len = end ? (size_t)(end - head.ptr) : head.len;
 		size_t used = end ? len + 2 : len;
 
-		parse_line(said, (lw_str_t){ head.ptr, len }, names);
+		parse_line(fields, (lw_str_t){ head.ptr, len }, names);
 		head.ptr += used;
 		head.len -= used;
 	}
@@ -122,15 +122,15 @@
  * order: a lower limit applies at once, a higher one or none only if its request was sent
  * after the lower limit was received.
  */
-bool lw_notice_limit_from_response(lw_notice_limit_t *l, const lw_notice_fields_t *said,
+bool lw_notice_limit_from_response(lw_notice_limit_t *l, const lw_notice_fields_t *fields,
 				   uint64_t sent_us, uint64_t now_us)
 {
-	bool higher = l->on && (!said->limited || said->limit_per_s > l->per_s);
+	bool higher = l->on && (!fields->limited || fields->limit_per_s > l->per_s);
 
 	if (higher && sent_us < l->updated_us)
 		return false;
 	l->updated_us = now_us;
-	return set_limit(l, said->limited, said->limit_per_s);
+	return set_limit(l, fields->limited, fields->limit_per_s);
 }
 
 /*
--- a/src/notice.h
+++ b/src/notice.h
@@ -37,10 +37,10 @@
 	double limit_per_s;
 } lw_notice_t;
 
-void lw_notice_parse_field(lw_notice_fields_t *said, lw_header_t meaning, lw_str_t value);
-void lw_notice_parse_head(lw_notice_fields_t *said, lw_str_t head, const lw_wirenames_t *names);
+void lw_notice_parse_field(lw_notice_fields_t *fields, lw_header_t meaning, lw_str_t value);
+void lw_notice_parse_head(lw_notice_fields_t *fields, lw_str_t head, const lw_wirenames_t *names);
 uint64_t lw_notice_server_digest(const char *id);
-bool lw_notice_limit_from_response(lw_notice_limit_t *l, const lw_notice_fields_t *said,
+bool lw_notice_limit_from_response(lw_notice_limit_t *l, const lw_notice_fields_t *fields,
 				   uint64_t sent_us, uint64_t now_us);
 bool lw_notice_limit_from_peer(lw_notice_limit_t *l, double per_s);
 bool lw_notice_matches(const lw_notice_t *n, const char *id, uint64_t born_ms);
--- a/src/peerset.c
+++ b/src/peerset.c
@@ -1,4 +1,4 @@
-/* The peers of a node and the choice among them; see peerset.h. */
+/* The peers of a node and the selection among them; see peerset.h. */
 #include "peerset.h"
 
 #include <math.h>
@@ -13,8 +13,8 @@
 #define SUSPECT_MS	  2000
 #define SUSPECT_MAX_MS	  4000
 #define SLOW_START_MS	  5000 /* backend servers have cold starts */
-#define LOAD_HALF_LIFE_MS 500.0 /* a load figure this old counts half */
-#define COST_INFLIGHT	  150.0 /* one open call of ours, in permille of load */
+#define LOAD_HALF_LIFE_MS 500.0 /* half-life of a reported load */
+#define COST_INFLIGHT	  150.0 /* one open call of this node, in permille of load */
 #define COST_FAILING	  3000.0 /* a peer that fails all its calls */
 #define COST_COLD	  600.0 /* a peer that has just started */
 #define COST_OTHER_ZONE	  250.0 /* crossing availability zones */
@@ -37,7 +37,7 @@
 struct lw_peerset {
 	char zone[LW_NAME_MAX];
 	unsigned short rng[3];
-	peer_slot_t **slots; /* pointers, so that a growing set moves no peer */
+	peer_slot_t **slots; /* array of pointers, so that growing it moves no peer */
 	size_t nslots;
 	peer_slot_t *by_addr;
 	service_t *services;
@@ -120,7 +120,10 @@
 	for (size_t i = 0; i < ps->nslots; i++) {
 		peer_slot_t *s = ps->slots[i];
 
-		/* an open call still refers to the index: it must not become another peer */
+		/*
+		 * An open call still refers to the index, which must not be given to
+		 * another peer.
+		 */
 		if (!s->peer.listed && s->peer.inflight == 0)
 			return s;
 	}
@@ -168,9 +171,9 @@
 }
 
 /*
- * lw_peerset_update() - take over a newer host list. What was learned of a
- * peer that stays is kept: the list lags, and forgetting a drain notice
- * would send work to a leaving backend server.
+ * lw_peerset_update() - apply a newer host list. The observed state of a peer that stays
+ * is kept: the list lags, and discarding a drain announcement would send requests to a
+ * leaving backend server.
  */
 void lw_peerset_update(lw_peerset_t *ps, const lw_host_t *hosts, size_t nhosts, uint64_t now_ms)
 {
@@ -178,7 +181,7 @@
 
 	for (size_t i = 0; i < ps->nslots; i++)
 		ps->slots[i]->peer.listed = false;
-	/* mark the peers that stay before any slot is reused for a new one */
+	/* mark the peers that stay before any slot is reused for a new peer */
 	for (size_t i = 0; i < nhosts; i++) {
 		peer_slot_t *s = find_slot(ps, hosts[i].addr);
 
@@ -195,7 +198,7 @@
 		if (!s)
 			s = add_slot(ps, hosts[i].addr, now_ms);
 		svc = service_of(ps, hosts[i].service, &index);
-		/* an address can pass to a server of another service */
+		/* an address can be reused by a server of another service */
 		if (s->peer.listed && s->peer.service != index)
 			s->peer.since_ms = now_ms;
 		s->peer.listed = true;
@@ -203,12 +206,12 @@
 		s->peer.service = index;
 		snprintf(s->peer.zone, sizeof(s->peer.zone), "%s", hosts[i].zone);
 		if (first)
-			s->peer.since_ms = 0; /* the fleet was there before us: no slow start */
+			s->peer.since_ms = 0; /* the fleet was running already: no slow start */
 		add_member(svc, s->index);
 	}
 }
 
-/* lw_peer_state() - what the routing makes of @p now. */
+/* lw_peer_state() - the state of @p as the routing sees it at @now_ms. */
 lw_peer_state_t lw_peer_state(const lw_peer_t *p, uint64_t now_ms)
 {
 	if (!p->listed)
@@ -308,8 +311,8 @@
 }
 
 /*
- * lw_peerset_has_room() - is there another usable peer of @service than
- * @avoid that has not just said it is full?
+ * lw_peerset_has_room() - whether @service has a usable peer other than @avoid that has
+ * not recently reported to be full.
  */
 bool lw_peerset_has_room(const lw_peerset_t *ps, uint32_t service, int avoid, uint64_t now_ms)
 {
@@ -357,11 +360,11 @@
 }
 
 /*
- * lw_peer_heard() - @p told its @incarnation and drain state, in a reply or
- * a heartbeat. A restarted peer (another incarnation) starts afresh: a
- * drain notice or a suspicion of the process before it says nothing of it.
- * Hearing from a suspected peer does not clear it otherwise: a node can
- * answer heartbeats while its backend server hangs.
+ * lw_peer_update_status() - @p reported its @incarnation and drain state, in a reply or a
+ * heartbeat. A restarted peer (a new incarnation) starts from a clean state: a drain
+ * announcement or suspicion of the previous process does not apply to it. Apart from that,
+ * a report does not clear a suspicion, as a node can answer heartbeats while its backend
+ * server hangs.
  */
 void lw_peer_update_status(lw_peer_t *p, uint64_t incarnation, bool draining, uint64_t now_ms)
 {
@@ -380,7 +383,7 @@
 		p->draining = true;
 }
 
-/* lw_peer_loaded() - @p told its load: in-flight over limit, in permille. */
+/* lw_peer_update_load() - @p reported its load: in-flight calls over the limit, in permille. */
 void lw_peer_update_load(lw_peer_t *p, uint32_t load_permille, uint64_t now_ms)
 {
 	p->load_permille = load_permille;
--- a/src/peerset.h
+++ b/src/peerset.h
@@ -1,10 +1,10 @@
 /*
- * The peers of a node: every node of the platform's host list, by address,
- * with what this node has learned of each (drain notices, failures, load,
- * latency). It chooses the peer of each outbound call.
+ * The peers of a node: every node of the platform's host list, by address, with the state
+ * this node has observed for each (drain announcements, failures, load, latency). Selects
+ * the peer of each outbound call.
  *
- * A peer keeps its index as long as a call to it is open, whatever host
- * lists arrive meanwhile, so a late reply is never booked on another peer.
+ * A peer keeps its index while a call to it is open, even if new host lists arrive
+ * meanwhile, so that a late reply is never attributed to another peer.
  */
 #ifndef LW_PEERSET_H
 #define LW_PEERSET_H
@@ -17,9 +17,9 @@
 
 typedef enum lw_peer_state {
 	LW_PEER_LIVE = 0,
-	LW_PEER_LEAVING, /* the platform's host list says so */
-	LW_PEER_DRAINING, /* the peer said so itself */
-	LW_PEER_SUSPECTED, /* failed repeatedly: gets no work for a while */
+	LW_PEER_LEAVING, /* per the platform's host list */
+	LW_PEER_DRAINING, /* announced by the peer itself */
+	LW_PEER_SUSPECTED, /* failed repeatedly: gets no requests for a while */
 	LW_PEER_TRIAL, /* was suspected: gets one request at a time */
 	LW_PEER_UNLISTED, /* no longer in the host list */
 } lw_peer_state_t;
@@ -29,16 +29,16 @@
 	char zone[LW_NAME_MAX];
 	uint32_t service;
 	bool listed; /* in the newest host list */
-	bool leaving; /* that list's state */
-	bool draining; /* told by the peer, for its current incarnation */
-	uint64_t incarnation; /* last one heard of; 0 before the first */
-	uint64_t since_ms; /* first listed, or restarted: its slow start */
+	bool leaving; /* state in that list */
+	bool draining; /* announced by the peer, for its current incarnation */
+	uint64_t incarnation; /* newest one received; 0 before the first */
+	uint64_t since_ms; /* start of its slow start: when first listed, or restarted */
 	uint32_t fails; /* consecutive failed attempts */
-	uint32_t backoff_ms; /* length of the last suspicion */
+	uint32_t backoff_ms; /* duration of the last suspicion */
 	uint64_t suspect_until; /* 0: not suspected */
 	bool trial; /* suspicion has ended, no success yet */
 	uint32_t inflight;
-	uint32_t load_permille; /* in-flight over limit, as last told */
+	uint32_t load_permille; /* last reported load: in-flight calls over the limit */
 	uint64_t load_at_ms;
 	double fail_ratio; /* moving average of failed or 5xx answers */
 	double latency_ms; /* moving average */
--- a/src/records.c
+++ b/src/records.c
@@ -71,7 +71,7 @@
 	free(rec);
 }
 
-/* lw_records_free() - drop every record, passing each stored answer to @release. */
+/* lw_records_free() - drop all records, passing each stored answer to @release. */
 void lw_records_free(lw_records_t *r, lw_record_release_fn release, void *ctx)
 {
 	record_t *rec, *tmp;
@@ -95,8 +95,8 @@
 }
 
 /*
- * lw_records_find() - the state of @key; *@answer is the stored answer of a
- * done record (still owned by the table) or NULL.
+ * lw_records_find() - the state of @key; *@answer is the stored answer of a done record
+ * (still owned by the table) or NULL.
  */
 lw_record_state_t lw_records_find(const lw_records_t *r, lw_key_t key, void **answer)
 {
@@ -107,9 +107,9 @@
 }
 
 /*
- * lw_records_begin() - note that @key starts to run. False when the table is
- * full of running records: the caller must refuse the request then, since
- * running it without a record could run it twice.
+ * lw_records_begin() - record that the execution of @key starts. False if the table is
+ * full of running records: the caller must then refuse the request, since without a record
+ * it could be executed twice.
  */
 bool lw_records_begin(lw_records_t *r, lw_key_t key, lw_record_release_fn release, void *ctx)
 {
@@ -127,9 +127,9 @@
 }
 
 /*
- * lw_records_settle() - @key reached its final @state. With an @answer of
- * @bytes the table takes it over; true says so. An unknown @key is added
- * first when @state is refused (the tombstone of a request never received).
+ * lw_records_settle() - @key reached its final @state. True if the table took ownership of
+ * @answer, which has @bytes. An unknown @key is added first if @state is refused, to
+ * refuse a request that has not been received yet.
  */
 bool lw_records_settle(lw_records_t *r, lw_key_t key, lw_record_state_t state, void *answer,
 		       size_t bytes, uint64_t now_ms, lw_record_release_fn release, void *ctx)
@@ -155,7 +155,7 @@
 	return rec->answer != NULL;
 }
 
-/* lw_records_forget() - @key did not run after all; a repeat may run. */
+/* lw_records_forget() - @key was not executed; a retry may be executed. */
 void lw_records_forget(lw_records_t *r, lw_key_t key)
 {
 	record_t *rec = lw_key_is_set(key) ? find(r, key) : NULL;
@@ -166,14 +166,14 @@
 	free(rec);
 }
 
-/* lw_records_expire() - drop the settled records whose time has passed. */
+/* lw_records_expire() - drop the settled records that have expired. */
 void lw_records_expire(lw_records_t *r, uint64_t now_ms, lw_record_release_fn release, void *ctx)
 {
 	while (r->settled && r->settled->expires <= now_ms)
 		drop_oldest(r, release, ctx);
 }
 
-/* lw_records_count() - records held, running and settled. */
+/* lw_records_count() - number of records, running and settled. */
 size_t lw_records_count(const lw_records_t *r)
 {
 	return HASH_COUNT(r->by_key);
--- a/src/records.h
+++ b/src/records.h
@@ -1,13 +1,13 @@
 /*
- * Records of requests a node has seen, by 128-bit key: running, done with
- * its whole answer, maybe run, or refused for good. Two tables use it: one
- * by idempotency key (a repeated registration gets the stored answer and
- * runs once), one by attempt (a caller whose connection went silent asks
- * what became of its request).
+ * Records of requests that a node has received, by 128-bit key: running, done with the
+ * complete answer, possibly executed, or refused permanently. There are two tables: one by
+ * idempotency key (a retried registration gets the stored answer and is executed once),
+ * one by attempt (a caller whose connection went silent queries the outcome of its
+ * request).
  *
- * Bounds: at most max_records records and max_bytes of stored answers. The
- * oldest answers go first, their keys stay: a repeat whose answer is gone
- * is answered "unknown", never run again. Running records are never dropped.
+ * Bounds: at most max_records records and max_bytes of stored answers. The oldest answers
+ * are dropped first while their keys stay: a retry whose answer was dropped gets the
+ * answer "unknown" and is never executed again. Running records are never dropped.
  */
 #ifndef LW_RECORDS_H
 #define LW_RECORDS_H
@@ -21,11 +21,11 @@
 } lw_key_t;
 
 typedef enum lw_record_state {
-	LW_REC_NONE = 0, /* never seen, or forgotten */
-	LW_REC_RUNNING, /* queued or at the backend server now */
-	LW_REC_DONE, /* ran; the answer may have been dropped for room */
-	LW_REC_UNCERTAIN, /* may have run: the backend server gave no answer */
-	LW_REC_REFUSED, /* never ran and never will: a later copy is refused */
+	LW_REC_NONE = 0, /* never received, or expired */
+	LW_REC_RUNNING, /* queued or being executed by the backend server */
+	LW_REC_DONE, /* executed; the answer may have been dropped for space */
+	LW_REC_UNCERTAIN, /* may have been executed: the backend server gave no answer */
+	LW_REC_REFUSED, /* never executed and never will be: a later copy is refused */
 } lw_record_state_t;
 
 typedef struct lw_records lw_records_t;
--- a/src/routestats.c
+++ b/src/routestats.c
@@ -1,4 +1,4 @@
-/* Counters by route; see routestats.h. */
+/* Request counters by route; see routestats.h. */
 #include "routestats.h"
 
 #include <string.h>
@@ -10,7 +10,10 @@
 	"answered", "server_failed", "refused", "failed", "timeout", "cut", "left",
 };
 
-/* lw_routestats_get() - the row of @route, made if it is new and there is room. */
+/*
+ * lw_routestats_get() - the row of @route, added if it is new; the shared row if the table
+ * is full.
+ */
 lw_routestat_t *lw_routestats_get(lw_routestats_t *s, const char *route)
 {
 	for (size_t i = 0; i < s->n; i++)
@@ -23,7 +26,10 @@
 	return &s->at[s->n++];
 }
 
-/* lw_routestat_count() - a request of the route, or a call for one, has ended. */
+/*
+ * lw_routestat_count() - count the outcome of a request of the route, or with @nested of a
+ * call made for one.
+ */
 void lw_routestat_count(lw_routestat_t *r, bool nested, lw_route_outcome_t outcome)
 {
 	if (nested)
@@ -42,7 +48,7 @@
 				route, kind, outcome_names[i], (unsigned long long)count[i]);
 }
 
-/* lw_routestats_print() - the rows in the Prometheus text format. */
+/* lw_routestats_print() - write the rows in the Prometheus text format. */
 void lw_routestats_print(FILE *f, const lw_routestats_t *s)
 {
 	fprintf(f, "# HELP lw_route_requests_total how the requests of each route ended\n"
--- a/src/routestats.h
+++ b/src/routestats.h
@@ -1,7 +1,7 @@
 /*
- * How the requests of each route ended, for the metrics page and the burn
- * report. The number of routes is bounded: a configuration may bring hundreds,
- * and each label costs memory on every node and in every reader.
+ * Outcomes of the requests of each route, for the metrics page and the burn report. The
+ * number of routes is bounded: a configuration may contain hundreds, and each label costs
+ * memory on every node and in every metrics reader.
  */
 #ifndef LW_ROUTESTATS_H
 #define LW_ROUTESTATS_H
@@ -13,17 +13,17 @@
 
 #include "platconf.h"
 
-/* Routes with requests that are counted by name; the rest is one row. */
+/* Maximum number of routes with their own counters; all others share one row. */
 #define LW_ROUTESTATS_MAX 256
 
 typedef enum lw_route_outcome {
-	LW_ROUTE_ANSWERED, /* by a backend server, not with a failure */
+	LW_ROUTE_ANSWERED, /* by a backend server, without a 5xx status */
 	LW_ROUTE_SERVER_FAILED, /* a backend server answered 5xx */
-	LW_ROUTE_REFUSED, /* certain not to have run */
-	LW_ROUTE_FAILED, /* may have run */
+	LW_ROUTE_REFUSED, /* certainly not executed */
+	LW_ROUTE_FAILED, /* may have been executed */
 	LW_ROUTE_TIMEOUT,
-	LW_ROUTE_CUT, /* the answer broke off */
-	LW_ROUTE_LEFT, /* the caller left first */
+	LW_ROUTE_CUT, /* the response was truncated */
+	LW_ROUTE_LEFT, /* the caller disconnected first */
 	LW_ROUTE_OUTCOMES
 } lw_route_outcome_t;
 
@@ -34,7 +34,7 @@
 } lw_routestat_t;
 
 typedef struct lw_routestats {
-	lw_routestat_t at[LW_ROUTESTATS_MAX + 1]; /* the last one in use: all others */
+	lw_routestat_t at[LW_ROUTESTATS_MAX + 1]; /* the last row: all other routes */
 	size_t n;
 } lw_routestats_t;
 
