--- a/src/lease.h
+++ b/src/lease.h
@@ -4,7 +4,7 @@
  * are partitioned from the store, the entries of their servers expire, and a service whose
  * servers are all alive and reachable is left without servers.
  *
- * A missing entry does not tell whether its server has left. The node on the same host can
+ * A missing entry does not show whether its server has left. The node on the same host can
  * find out: it knows whether it reaches the store itself, and it can query the server. No
  * I/O; the caller passes the time. States and transitions: docs/DESIGN.md.
  */
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -140,7 +140,7 @@
 
 /*
  * lw_quarantine_needs_body() - whether a request with this method, host and target may be
- * restricted. Only the body tells, so the caller waits for the body.
+ * restricted. This depends on the body, so the caller must wait for it.
  */
 bool lw_quarantine_needs_body(const lw_quarantine_t *q, uint64_t head)
 {
@@ -217,38 +217,38 @@
 	return mattered ? &e->s : NULL;
 }
 
-static void merge(lw_suspect_t *s, const lw_suspect_t *told)
+static void merge(lw_suspect_t *s, const lw_suspect_t *report)
 {
-	if (told->cleared_us > s->cleared_us) {
-		if (told->cleared_us >= s->last_crash_us)
-			clear(s, told->cleared_us);
-		s->cleared_us = told->cleared_us;
+	if (report->cleared_us > s->cleared_us) {
+		if (report->cleared_us >= s->last_crash_us)
+			clear(s, report->cleared_us);
+		s->cleared_us = report->cleared_us;
 	}
-	if (told->last_crash_us <= s->cleared_us)
+	if (report->last_crash_us <= s->cleared_us)
 		return;
-	for (uint32_t i = 0; i < told->ncrashes; i++)
-		add_crash(s, told->end[i]);
-	if (told->trials > s->trials)
-		s->trials = told->trials;
-	if (told->last_crash_us > s->last_crash_us)
-		s->last_crash_us = told->last_crash_us;
-	if (told->held_until_us > s->held_until_us)
-		s->held_until_us = told->held_until_us;
+	for (uint32_t i = 0; i < report->ncrashes; i++)
+		add_crash(s, report->end[i]);
+	if (report->trials > s->trials)
+		s->trials = report->trials;
+	if (report->last_crash_us > s->last_crash_us)
+		s->last_crash_us = report->last_crash_us;
+	if (report->held_until_us > s->held_until_us)
+		s->held_until_us = report->held_until_us;
 }
 
 /*
- * lw_quarantine_merge() - merge a report @told of another node. Returns the entry if the
+ * lw_quarantine_merge() - merge a @report of another node. Returns the entry if the
  * request is handled differently from now on, so that other nodes must be informed; else
  * NULL.
  */
-const lw_suspect_t *lw_quarantine_merge(lw_quarantine_t *q, const lw_suspect_t *told,
+const lw_suspect_t *lw_quarantine_merge(lw_quarantine_t *q, const lw_suspect_t *report,
 					uint64_t now_us)
 {
-	lw_suspect_t *s = &get(q, &told->print)->s;
+	lw_suspect_t *s = &get(q, &report->print)->s;
 	lw_quarantine_verdict_t before = verdict_of(s, now_us);
 	uint32_t trials = s->trials;
 
-	merge(s, told);
+	merge(s, report);
 	return verdict_of(s, now_us) != before || s->trials != trials ? s : NULL;
 }
 
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -56,7 +56,7 @@
 						 uint64_t process, bool tried, uint64_t now_us);
 const lw_suspect_t *lw_quarantine_answered(lw_quarantine_t *q, const lw_fingerprint_t *print,
 					   uint64_t now_us);
-const lw_suspect_t *lw_quarantine_merge(lw_quarantine_t *q, const lw_suspect_t *told,
+const lw_suspect_t *lw_quarantine_merge(lw_quarantine_t *q, const lw_suspect_t *report,
 					uint64_t now_us);
 bool lw_suspect_is_restricted(const lw_suspect_t *s);
 size_t lw_quarantine_list(const lw_quarantine_t *q, const lw_suspect_t **out, size_t most);
--- a/src/quota.c
+++ b/src/quota.c
@@ -50,7 +50,7 @@
 	double demand; /* recent demand at this node, per second */
 	uint64_t demand_us;
 	double fleet_demand; /* at all nodes, per the last answer; 0: not included */
-	double part; /* this node's share of it at the last answer of a coordinator */
+	double share; /* this node's share of it at the last answer of a coordinator */
 	double tokens; /* of this node's own token bucket, used while it is standalone */
 	uint64_t tokens_us;
 	lw_quotawindow_t window; /* requests admitted here */
@@ -142,8 +142,8 @@
 }
 
 /*
- * Answers of all coordinators are late: detects a surge that starts together with a
- * partition at once.
+ * Whether the answers of all coordinators are late. This limits a surge that starts together
+ * with a partition before LW_QUOTA_STANDALONE_US have passed.
  */
 static bool reports_unanswered(const lw_quota_t *q, uint64_t now_us)
 {
@@ -176,24 +176,24 @@
  * Shares of a few requests are rounded by a number drawn once per node, so that the shares
  * of all nodes add up to the allowance.
  */
-static bool fits_window(lw_quota_t *q, lw_orgusage_t *u, double part, uint64_t now_us)
+static bool fits_window(lw_quota_t *q, lw_orgusage_t *u, double share, uint64_t now_us)
 {
 	double all = u->rate_per_s * q->tolerance.window_s + u->burst +
 		     STANDALONE_SLACK_SHARE * q->tolerance.slack;
 
 	return lw_quotawindow_sum(&u->window, q->tolerance.window_s, now_us) <
-	       (uint32_t)(all * part + u->phase);
+	       (uint32_t)(all * share + u->phase);
 }
 
 /*
  * A count over a window would admit the whole share at once, and again right after the
  * window, in addition to what the connected nodes admit in the meantime.
  */
-static bool fits_bucket(lw_orgusage_t *u, double part, uint64_t now_us)
+static bool fits_bucket(lw_orgusage_t *u, double share, uint64_t now_us)
 {
-	double most = u->burst * part;
+	double most = u->burst * share;
 
-	u->tokens += u->rate_per_s * part * (double)(now_us - u->tokens_us) / 1e6;
+	u->tokens += u->rate_per_s * share * (double)(now_us - u->tokens_us) / 1e6;
 	if (u->tokens > most)
 		u->tokens = most;
 	u->tokens_us = now_us;
@@ -206,10 +206,10 @@
 /* whether one more request is within this node's own share of the limit */
 static bool fits_own_share(lw_quota_t *q, lw_orgusage_t *u, uint64_t now_us)
 {
-	double part = u->fleet_demand > 0 ? u->part : 1.0 / q->nodes;
+	double share = u->fleet_demand > 0 ? u->share : 1.0 / q->nodes;
 
-	return u->burst * part >= BUCKET_MIN ? fits_bucket(u, part, now_us) :
-					       fits_window(q, u, part, now_us);
+	return u->burst * share >= BUCKET_MIN ? fits_bucket(u, share, now_us) :
+						fits_window(q, u, share, now_us);
 }
 
 static uint32_t permille_of(const lw_quota_t *q, const lw_orgusage_t *u)
@@ -316,8 +316,8 @@
 }
 
 /*
- * lw_quota_report() - fill @out with what the coordinator has not been told yet, at most
- * @most organisations; the others follow in the next report. Only one report at a time
+ * lw_quota_report() - fill @out with the usage that has not been reported to the
+ * coordinator yet, for at most @most organisations; the others follow in the next report. Only one report at a time
  * awaits its answer.
  */
 size_t lw_quota_report(lw_quota_t *q, uint32_t coordinator, uint64_t now_us, lw_quota_usage_t *out,
@@ -367,7 +367,7 @@
 		apply_grant(q, &grants[i]);
 	for (lw_orgusage_t *u = q->uses; u; u = u->hh.next) {
 		u->sent[coordinator] = (lw_pending_t){ 0 };
-		u->part = lw_quota_share(demand_now(u, now_us), u->fleet_demand, q->nodes);
+		u->share = lw_quota_share(demand_now(u, now_us), u->fleet_demand, q->nodes);
 	}
 }
 
--- a/src/quota.h
+++ b/src/quota.h
@@ -4,7 +4,7 @@
  * or to a single one, and no node sees all of its requests.
  *
  * Nodes report the requests that they received and admitted to two coordinators
- * (quotacoord.h), and each answer tells which fraction of an organisation's requests to
+ * (quotacoord.h), and each answer contains which fraction of an organisation's requests to
  * admit from now on. A node without a coordinator is standalone and applies its own share
  * of the limit: the share of the demand that it had when it last received an answer. No
  * I/O; the caller passes the time.
@@ -43,7 +43,7 @@
 	int32_t admitted; /* less the refunded ones; may be negative */
 } lw_quota_usage_t;
 
-/* What a coordinator tells about an organisation. */
+/* What the answer of a coordinator contains about one organisation. */
 typedef struct lw_quota_grant {
 	uint64_t org;
 	uint32_t admit_permille; /* fraction of its requests to admit; 1000: all */
--- a/src/quotabucket.h
+++ b/src/quotabucket.h
@@ -25,7 +25,8 @@
 	double demand_fast; /* averages of the demand, per second */
 	double demand_slow;
 	double shared; /* average from which nodes compute their shares */
-	double past[LW_BUCKET_HISTORY]; /* this average at the last steps of the coordinator */
+	double share_history
+		[LW_BUCKET_HISTORY]; /* this average at the last steps of the coordinator */
 	uint64_t demand_us;
 	double reserved; /* share of the limit reserved for silent nodes */
 	double available; /* share of the limit available to reporting nodes */
--- a/src/quotacoord.c
+++ b/src/quotacoord.c
@@ -25,13 +25,13 @@
 	uint64_t org;
 	double demand; /* recent demand, per second */
 	uint64_t at_us;
-	double part; /* share of the limit that is reserved while the node is silent */
+	double share; /* share of the limit that is reserved while the node is silent */
 	UT_hash_handle hh;
 } lw_nodeusage_t;
 
 typedef struct lw_reporter {
 	uint64_t node; /* digest of its address */
-	uint64_t heard_us;
+	uint64_t reported_us;
 	bool silent; /* its shares are reserved */
 	lw_nodeusage_t *uses;
 	UT_hash_handle hh;
@@ -195,8 +195,8 @@
 	return covered_s > SILENT_US / 1e6 ? admitted * (SILENT_US / 1e6) / covered_s : admitted;
 }
 
-static void count_node_use(lw_reporter_t *r, const lw_quota_usage_t *use, double covered_s,
-			   uint64_t now_us)
+static void count_node_usage(lw_reporter_t *r, const lw_quota_usage_t *use, double covered_s,
+			     uint64_t now_us)
 {
 	lw_nodeusage_t *u;
 	double dt;
@@ -221,12 +221,12 @@
 {
 	for (lw_nodeusage_t *u = r->uses; u; u = u->hh.next) {
 		const lw_bucket_t *b = bucket_find(k, u->org);
-		double age_s = (double)(r->heard_us - u->at_us) / 1e6;
+		double age_s = (double)(r->reported_us - u->at_us) / 1e6;
 		double demand = u->demand * exp(-age_s / LW_QUOTA_DEMAND_MEMORY_S);
 
 		if (b)
-			u->part = lw_quota_share(demand, b->past[k->step % LW_BUCKET_HISTORY],
-						 k->nodes);
+			u->share = lw_quota_share(
+				demand, b->share_history[k->step % LW_BUCKET_HISTORY], k->nodes);
 	}
 	r->silent = true;
 }
@@ -239,7 +239,7 @@
 		lw_bucket_t *b = bucket_find(k, u->org);
 
 		if (b)
-			b->reserved += u->part;
+			b->reserved += u->share;
 	}
 }
 
@@ -259,7 +259,7 @@
 	k->step++;
 	HASH_ITER(hh, k->reporters, r, next)
 	{
-		uint64_t silent_us = now_us - r->heard_us;
+		uint64_t silent_us = now_us - r->reported_us;
 
 		if (silent_us > FORGET_US) {
 			free_reporter(k, r);
@@ -272,7 +272,7 @@
 	k->nunknown = k->nodes > known ? k->nodes - known : 0;
 	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
 		b->available = available_share(k, b);
-		b->past[k->step % LW_BUCKET_HISTORY] = b->shared;
+		b->share_history[k->step % LW_BUCKET_HISTORY] = b->shared;
 	}
 }
 
@@ -281,9 +281,9 @@
 			      size_t n, uint64_t now_us)
 {
 	lw_reporter_t *r = reporter_of(k, node);
-	double covered_s = r->heard_us ? (double)(now_us - r->heard_us) / 1e6 : 0;
+	double covered_s = r->reported_us ? (double)(now_us - r->reported_us) / 1e6 : 0;
 
-	r->heard_us = now_us;
+	r->reported_us = now_us;
 	r->silent = false;
 	reserve(k, now_us);
 	for (size_t i = 0; i < n; i++) {
@@ -294,7 +294,7 @@
 		lw_bucket_advance(b, &k->tolerance, now_us);
 		b->tokens -= charge_of(uses[i].admitted, covered_s);
 		lw_bucket_add_demand(b, uses[i].asked, covered_s);
-		count_node_use(r, &uses[i], covered_s, now_us);
+		count_node_usage(r, &uses[i], covered_s, now_us);
 	}
 }
 
@@ -343,19 +343,19 @@
 size_t lw_quotacoord_grants(lw_quotacoord_t *k, const lw_quota_usage_t *uses, size_t n,
 			    lw_quota_grant_t *out, size_t most, uint64_t now_us)
 {
-	size_t told = 0;
+	size_t ngrants = 0;
 
 	if (!k->buckets)
 		return 0;
 	compute_limited(k, now_us);
 	for (size_t i = 0; i < k->nlimited; i++)
-		add_grant(k->limited[i], false, out, &told, most);
+		add_grant(k->limited[i], false, out, &ngrants, most);
 	for (size_t i = 0; i < n; i++) {
 		lw_bucket_t *b = bucket_find(k, uses[i].org);
 
 		if (b)
-			add_grant(b, true, out, &told, most);
+			add_grant(b, true, out, &ngrants, most);
 	}
-	add_round_robin_grants(k, out, &told, most);
-	return told;
+	add_round_robin_grants(k, out, &ngrants, most);
+	return ngrants;
 }
--- a/tests/test_notice.c
+++ b/tests/test_notice.c
@@ -34,7 +34,7 @@
 /* Events at a host in use, in any order and any number of times. */
 typedef enum lw_place_event {
 	ANSWER_LEAVING, /* a response that announces leaving is passed on */
-	ANSWER_PLAIN, /* a response that does not: an older one, late */
+	ANSWER_PLAIN, /* an older response without the announcement arrives late */
 	NODE_LEAVING, /* the node on its host reports that it is leaving */
 	NODE_PLAIN, /* a restarted node without that state reports */
 	NODE_OTHER, /* the report is about the previous server at the address */
