--- a/src/admit.c
+++ b/src/admit.c
@@ -46,7 +46,7 @@
 }
 
 /* lw_admit_wait_ms() - how long the request may wait before it is handed back. */
-uint32_t lw_admit_wait_ms(const lw_admit_state_t *st, const lw_ask_t *ask)
+uint32_t lw_admit_wait_ms(const lw_admit_state_t *st, const lw_call_request_t *ask)
 {
 	uint32_t service_ms = st->load.service_us / 1000;
 	uint32_t left = ask->deadline_ms > service_ms ? ask->deadline_ms - service_ms : 0;
@@ -55,7 +55,7 @@
 }
 
 /* lw_admit() - LW_FAIL_NONE if the request may run or wait, else why not. */
-lw_fail_t lw_admit(const lw_admit_state_t *st, const lw_ask_t *ask)
+lw_fail_t lw_admit(const lw_admit_state_t *st, const lw_call_request_t *ask)
 {
 	uint32_t wait = lw_admit_expected_wait_ms(st);
 
--- a/src/admit.h
+++ b/src/admit.h
@@ -20,8 +20,8 @@
 
 uint32_t lw_admit_limit(uint32_t slots);
 uint32_t lw_admit_expected_wait_ms(const lw_admit_state_t *st);
-uint32_t lw_admit_wait_ms(const lw_admit_state_t *st, const lw_ask_t *ask);
-lw_fail_t lw_admit(const lw_admit_state_t *st, const lw_ask_t *ask);
+uint32_t lw_admit_wait_ms(const lw_admit_state_t *st, const lw_call_request_t *ask);
+lw_fail_t lw_admit(const lw_admit_state_t *st, const lw_call_request_t *ask);
 uint32_t lw_admit_retry_after_ms(const lw_load_t *load);
 
 #endif
--- a/src/call.c
+++ b/src/call.c
@@ -5,7 +5,7 @@
  * lw_fail_not_run() - true where no backend server has run the request or
  * ever will: only then may the caller be told so.
  */
-bool lw_fail_not_run(lw_fail_t why)
+bool lw_fail_not_executed(lw_fail_t why)
 {
 	return (why > LW_FAIL_NONE && why < LW_FAIL_BROKEN) || why >= LW_FAIL_HELD;
 }
--- a/src/call.h
+++ b/src/call.h
@@ -61,7 +61,7 @@
 } lw_load_t;
 
 /* A request as it is handed to a node or a backend server. */
-typedef struct lw_ask {
+typedef struct lw_call_request {
 	lw_str_t head; /* request line and end-to-end header lines, CRLF each */
 	lw_str_t request_id;
 	lw_str_t target; /* id of the backend server */
@@ -72,7 +72,7 @@
 	uint32_t rank; /* of the user request it is part of, see level.h */
 	bool repeat; /* it, or a request it is part of, was sent before */
 	lw_notice_t notice; /* what the sender knows of the target; of none: nothing */
-} lw_ask_t;
+} lw_call_request_t;
 
 /* The head of an answer. */
 typedef struct lw_answer {
@@ -112,7 +112,7 @@
 	lw_sink_t *sink;
 };
 
-bool lw_fail_not_run(lw_fail_t why);
+bool lw_fail_not_executed(lw_fail_t why);
 bool lw_fail_reached_server(lw_fail_t why);
 const char *lw_fail_name(lw_fail_t why);
 
--- a/src/caller.c
+++ b/src/caller.c
@@ -13,7 +13,7 @@
 #define HEAD_DEFAULT_MS	   3000
 #define IDLE_DEFAULT_MS	   15000
 /* a connection without a request is not closed for a stop while it is younger, us */
-#define FRESH_US 500000
+#define NEW_CONN_US 500000
 /* descriptors left for peers, the backend server and files */
 #define FDS_RESERVED 700
 
@@ -21,8 +21,8 @@
 void lw_caller_watch(lw_caller_t *c)
 {
 	int events = 0;
-	bool full = (c->state == CALLER_BODY && c->x && lw_exchange_full(c->x)) ||
-		    lw_bytebuf_len(&c->in) >= AHEAD_MAX_BYTES;
+	bool full = (c->state == CALLER_BODY && c->x && lw_exchange_body_full(c->x)) ||
+		    lw_bytebuf_len(&c->in) >= READ_AHEAD_MAX_BYTES;
 
 	if (c->closed)
 		return;
@@ -49,7 +49,7 @@
 	c->x = NULL;
 	ev_io_stop(c->set->hub->loop, &c->io);
 	ev_clear_pending(c->set->hub->loop, &c->io);
-	if (c->cut)
+	if (c->reset_on_close)
 		lw_sock_abort(c->fd);
 	else
 		close(c->fd);
@@ -92,7 +92,7 @@
 
 		c->uncredited = 0;
 		if (taken && c->x)
-			lw_exchange_taken(c->x, taken);
+			lw_exchange_credit(c->x, taken);
 		if (c->closing) {
 			lw_caller_close(c);
 			return;
@@ -195,7 +195,7 @@
 }
 
 /* the host was suspended: what lies unread is old by that time */
-static void on_wake(struct ev_loop *loop, ev_check *w, int revents)
+static void on_resume(struct ev_loop *loop, ev_check *w, int revents)
 {
 	lw_callers_t *cs = w->data;
 
@@ -224,7 +224,7 @@
 
 	for (lw_caller_t *c = cs->conns; c; c = next) {
 		next = c->next;
-		if (cs->hub->now_us - c->since_us >= FRESH_US && c->state == CALLER_HEAD &&
+		if (cs->hub->now_us - c->since_us >= NEW_CONN_US && c->state == CALLER_HEAD &&
 		    !lw_bytebuf_len(&c->in) && !c->ready_only && !lw_bytebuf_len(&c->out))
 			lw_caller_close(c);
 	}
@@ -252,7 +252,7 @@
 }
 
 /* lw_callers_end() - the process exits: close everything, so that nobody waits for its last lines. */
-void lw_callers_end(lw_callers_t *cs)
+void lw_callers_close_all(lw_callers_t *cs)
 {
 	lw_callers_close_listeners(cs);
 	while (cs->conns)
@@ -302,9 +302,9 @@
 	cs->hub = engine->hub;
 	cs->limits = (lw_fleet_limits_t){ HEAD_DEFAULT_BYTES, BODY_DEFAULT_BYTES, HEAD_DEFAULT_MS,
 					  IDLE_DEFAULT_MS };
-	ev_check_init(&cs->wake, on_wake);
-	cs->wake.data = cs;
-	ev_check_start(cs->hub->loop, &cs->wake);
+	ev_check_init(&cs->resume_check, on_resume);
+	cs->resume_check.data = cs;
+	ev_check_start(cs->hub->loop, &cs->resume_check);
 	lw_hub_on_tick(cs->hub, on_tick, cs);
 	return cs;
 }
--- a/src/caller.h
+++ b/src/caller.h
@@ -28,7 +28,7 @@
 void lw_callers_close_listeners(lw_callers_t *cs);
 void lw_callers_close_idle(lw_callers_t *cs);
 bool lw_callers_unwritten(const lw_callers_t *cs);
-void lw_callers_end(lw_callers_t *cs);
+void lw_callers_close_all(lw_callers_t *cs);
 uint32_t lw_callers_count(const lw_callers_t *cs);
 const lw_callers_stats_t *lw_callers_stats(const lw_callers_t *cs);
 
--- a/src/caller_int.h
+++ b/src/caller_int.h
@@ -9,7 +9,7 @@
 #include "caller.h"
 
 /* a caller that sends ahead of its answers is not read beyond this */
-#define AHEAD_MAX_BYTES 65536
+#define READ_AHEAD_MAX_BYTES 65536
 
 typedef enum {
 	CALLER_HEAD, /* waits for or reads the head of a request */
@@ -39,7 +39,7 @@
 	bool chunked_answer;
 	bool http10;
 	bool answered; /* the answer to the request under way is complete */
-	bool cut; /* reset when it is closed: the answer would look whole */
+	bool reset_on_close; /* reset when it is closed: the answer would look whole */
 	bool closed;
 	bool body_done;
 	bool starting; /* the exchange is being given its first bytes */
@@ -64,7 +64,7 @@
 	bool ready;
 	lw_fleet_limits_t limits;
 	lw_callers_stats_t stats;
-	ev_check wake;
+	ev_check resume_check;
 };
 
 extern const lw_reply_ops_t lw_caller_reply_ops;
@@ -72,7 +72,8 @@
 void lw_caller_close(lw_caller_t *c);
 void lw_caller_flush(lw_caller_t *c);
 void lw_caller_answer_done(lw_caller_t *c);
-void lw_caller_put_own(lw_caller_t *c, uint32_t status, const char *why, uint32_t retry_after_ms);
+void lw_caller_put_local_answer(lw_caller_t *c, uint32_t status, const char *why,
+				uint32_t retry_after_ms);
 void lw_caller_reject(lw_caller_t *c, uint32_t status, const char *why);
 void lw_caller_process(lw_caller_t *c);
 void lw_caller_readable(lw_caller_t *c);
--- a/src/callerread.c
+++ b/src/callerread.c
@@ -13,7 +13,7 @@
 {
 	c->keep = false;
 	c->body_done = true;
-	lw_caller_put_own(c, status, why, 0);
+	lw_caller_put_local_answer(c, status, why, 0);
 	c->closing = true;
 	lw_caller_flush(c);
 }
@@ -27,7 +27,7 @@
 		lw_exchange_body(c->x, (lw_str_t){ at, len }, false);
 	if (c->closed)
 		return 1;
-	if (c->x && lw_exchange_full(c->x))
+	if (c->x && lw_exchange_body_full(c->x))
 		http_parser_pause(p, 1);
 	return 0;
 }
@@ -74,7 +74,7 @@
 	size_t used;
 	enum http_errno err;
 
-	if (!len || (c->x && lw_exchange_full(c->x)))
+	if (!len || (c->x && lw_exchange_body_full(c->x)))
 		return false;
 	http_parser_pause(&c->parser, 0);
 	used = http_parser_execute(&c->parser, &body_settings, lw_bytebuf_head(&c->in), len);
@@ -110,15 +110,15 @@
 
 	c->body_done = true;
 	if (!asked)
-		lw_caller_put_own(c, 404, "unknown_path", 0);
+		lw_caller_put_local_answer(c, 404, "unknown_path", 0);
 	else
-		lw_caller_put_own(c, ready ? 200 : 503, ready ? "ready" : "not_ready", 0);
+		lw_caller_put_local_answer(c, ready ? 200 : 503, ready ? "ready" : "not_ready", 0);
 	lw_caller_answer_done(c);
 }
 
 static void begin_request(lw_caller_t *c, const lw_httphead_t *h)
 {
-	lw_exchange_ask_t ask = {
+	lw_exchange_request_t req = {
 		.head = h,
 		.body_length = h->body_length,
 		.late_us = c->late_us,
@@ -144,7 +144,7 @@
 	if (h->expect_continue)
 		lw_bytebuf_append_c(&c->out, "HTTP/1.1 100 Continue\r\n\r\n");
 	c->starting = true;
-	c->x = lw_exchange_start(c->set->engine, &c->reply, &ask);
+	c->x = lw_exchange_start(c->set->engine, &c->reply, &req);
 	c->starting = false;
 }
 
@@ -226,7 +226,7 @@
 {
 	if (c->state == CALLER_HEAD && !lw_bytebuf_len(&c->in))
 		c->since_us = c->set->hub->now_us;
-	while (!c->eof && lw_bytebuf_len(&c->in) < AHEAD_MAX_BYTES) {
+	while (!c->eof && lw_bytebuf_len(&c->in) < READ_AHEAD_MAX_BYTES) {
 		char *room = lw_bytebuf_reserve(&c->in, READ_BYTES);
 		ssize_t n = recv(c->fd, room, READ_BYTES, 0);
 
--- a/src/callerreply.c
+++ b/src/callerreply.c
@@ -110,7 +110,8 @@
  * lw_caller_put_own() - queue an answer of this node: @why is its body,
  * @retry_after_ms 0 tells none.
  */
-void lw_caller_put_own(lw_caller_t *c, uint32_t status, const char *why, uint32_t retry_after_ms)
+void lw_caller_put_local_answer(lw_caller_t *c, uint32_t status, const char *why,
+				uint32_t retry_after_ms)
 {
 	lw_bytebuf_printf(&c->out, "HTTP/1.1 %u %s\r\nContent-Type: text/plain\r\n", status,
 			  reason_phrase(status));
@@ -126,13 +127,14 @@
 		lw_bytebuf_printf(&c->out, "%s\n", why);
 }
 
-static void reply_own(lw_reply_t *r, uint32_t status, const char *why, uint32_t retry_after_ms)
+static void reply_local_answer(lw_reply_t *r, uint32_t status, const char *why,
+			       uint32_t retry_after_ms)
 {
 	lw_caller_t *c = (lw_caller_t *)r;
 
 	if (c->closed)
 		return;
-	lw_caller_put_own(c, status, why, retry_after_ms);
+	lw_caller_put_local_answer(c, status, why, retry_after_ms);
 	lw_caller_answer_done(c);
 }
 
@@ -145,7 +147,7 @@
 	lw_caller_t *c = (lw_caller_t *)r;
 
 	c->x = NULL;
-	c->cut = c->http10;
+	c->reset_on_close = c->http10;
 	if (!c->closed)
 		lw_caller_close(c);
 }
@@ -161,7 +163,7 @@
 const lw_reply_ops_t lw_caller_reply_ops = {
 	.answer = reply_answer,
 	.data = reply_data,
-	.own = reply_own,
+	.local_answer = reply_local_answer,
 	.cut = reply_cut,
 	.resume = reply_resume,
 };
--- a/src/confwatch.c
+++ b/src/confwatch.c
@@ -143,7 +143,7 @@
 	req.newer_than = __atomic_load_n(&n->policy->info.config_version, __ATOMIC_RELAXED);
 	f.body_case = LW__FRAME__BODY_CONFIG_REQUEST;
 	f.config_request = &req;
-	if (!lw_pool_ask(n->pool, addr, &f, FETCH_MS, true, &reply))
+	if (!lw_pool_request(n->pool, addr, &f, FETCH_MS, true, &reply))
 		return;
 	rep = reply->config_reply;
 	if (reply->body_case == LW__FRAME__BODY_CONFIG_REPLY && rep->version > req.newer_than) {
--- a/src/exchadmit.c
+++ b/src/exchadmit.c
@@ -16,13 +16,13 @@
 /* a request without a deadline of its own and no route timeout, ms */
 #define DEADLINE_DEFAULT_MS 30000
 /* the server's own answer at the deadline is waited for a little, ms */
-#define TIMEOUT_SLACK_MS 15
+#define TIMEOUT_MARGIN_MS 15
 /*
  * A node whose news from the store is older than this cannot tell a wrong key
  * from a new one. A caller does not repeat a request that was answered 401, so it
  * is told to come back instead, ms.
  */
-#define KEYS_OLD_MS 2500
+#define KEYS_STALE_MS 2500
 
 /* Who sent a request. */
 typedef enum lw_identity {
@@ -49,10 +49,10 @@
 	return ms ? (uint32_t)ms : 1;
 }
 
-static void set_times(lw_exchange_t *x, const lw_exchange_ask_t *ask, uint32_t timeout_ms)
+static void set_times(lw_exchange_t *x, const lw_exchange_request_t *req, uint32_t timeout_ms)
 {
 	uint64_t now = x->engine->hub->now_us;
-	uint32_t deadline = header_ms(ask->head);
+	uint32_t deadline = header_ms(req->head);
 	uint32_t give_up;
 
 	if (!deadline)
@@ -62,12 +62,12 @@
 	x->target_us = now + (uint64_t)x->target_ms * 1000;
 	x->deadline_us = now + (uint64_t)deadline * 1000;
 	x->deadline_us -=
-		ask->late_us < (uint64_t)deadline * 1000 ? ask->late_us : (uint64_t)deadline * 1000;
+		req->late_us < (uint64_t)deadline * 1000 ? req->late_us : (uint64_t)deadline * 1000;
 	x->give_up_us = now + (uint64_t)give_up * 1000;
 	if (x->give_up_us > x->deadline_us)
 		x->give_up_us = x->deadline_us;
-	ev_timer_init(&x->timer, lw_exchange_timeout,
-		      (lw_exchange_left_ms(x, x->give_up_us) + TIMEOUT_SLACK_MS) / 1000.0, 0);
+	ev_timer_init(&x->timer, lw_exchange_on_timeout,
+		      (lw_exchange_remaining_ms(x, x->give_up_us) + TIMEOUT_MARGIN_MS) / 1000.0, 0);
 	x->timer.data = x;
 	ev_timer_start(x->engine->hub->loop, &x->timer);
 }
@@ -111,10 +111,10 @@
 		x->parent_id.len = 0;
 }
 
-static lw_identity_t unknown(const lw_engine_t *e)
+static lw_identity_t unknown_or_unsure(const lw_engine_t *e)
 {
-	return e->news_age_ms && e->news_age_ms(e->ctx) > KEYS_OLD_MS ? LW_IDENTITY_UNSURE :
-									LW_IDENTITY_UNKNOWN;
+	return e->news_age_ms && e->news_age_ms(e->ctx) > KEYS_STALE_MS ? LW_IDENTITY_UNSURE :
+									  LW_IDENTITY_UNKNOWN;
 }
 
 /* who sent the request; @org: NULL for calls of running requests and open routes */
@@ -132,16 +132,16 @@
 		return LW_IDENTITY_AMBIGUOUS;
 	case LW_CREDENTIAL_KEY:
 		*org = lw_orgs_by_key(e->conf->orgs, key);
-		return *org ? LW_IDENTITY_KNOWN : unknown(e);
+		return *org ? LW_IDENTITY_KNOWN : unknown_or_unsure(e);
 	case LW_CREDENTIAL_NONE:
-		return x->parent_id.len ? LW_IDENTITY_KNOWN : unknown(e);
+		return x->parent_id.len ? LW_IDENTITY_KNOWN : unknown_or_unsure(e);
 	default:
 		return LW_IDENTITY_UNKNOWN;
 	}
 }
 
 /* the terms of the route in force now */
-static void apply_route(lw_exchange_t *x, const lw_exchange_ask_t *ask, lw_fleet_route_t *r,
+static void apply_route(lw_exchange_t *x, const lw_exchange_request_t *req, lw_fleet_route_t *r,
 			const lw_organisation_t *org)
 {
 	lw_engine_t *e = x->engine;
@@ -159,19 +159,20 @@
 		lw_str_copy(x->org, sizeof(x->org), lw_str_c(org->name));
 		x->org_id = org->id;
 	}
-	set_times(x, ask, r->timeout_ms);
+	set_times(x, req, r->timeout_ms);
 }
 
 /* answered before it has a route and terms: nothing of it is kept */
-static void turn_away(lw_exchange_t *x, uint32_t status, const char *why, uint32_t retry_after_ms)
+static void reject_early(lw_exchange_t *x, uint32_t status, const char *why,
+			 uint32_t retry_after_ms)
 {
 	lw_reply_t *reply = x->reply;
 
 	lw_exchange_release(x);
-	reply->ops->own(reply, status, why, retry_after_ms);
+	reply->ops->local_answer(reply, status, why, retry_after_ms);
 }
 
-static void turn_away_unknown(lw_exchange_t *x, lw_identity_t who, const lw_fleet_route_t *r)
+static void reject_unidentified(lw_exchange_t *x, lw_identity_t who, const lw_fleet_route_t *r)
 {
 	lw_engine_t *e = x->engine;
 	uint32_t news_ms = e->news_age_ms ? e->news_age_ms(e->ctx) : 0;
@@ -183,11 +184,11 @@
 	       who == LW_IDENTITY_UNSURE    ? "keys_old" :
 					      "unknown_key");
 	if (who == LW_IDENTITY_AMBIGUOUS)
-		turn_away(x, 400, "two_keys", 0);
+		reject_early(x, 400, "two_keys", 0);
 	else if (who == LW_IDENTITY_UNSURE)
-		turn_away(x, 503, "keys_old", LW_COMEBACK_DEFAULT_MS);
+		reject_early(x, 503, "keys_old", LW_COMEBACK_DEFAULT_MS);
 	else
-		turn_away(x, 401, "unknown_key", 0);
+		reject_early(x, 401, "unknown_key", 0);
 }
 
 /* false: a service that the request leads to could not finish it, and it was refused */
@@ -196,8 +197,8 @@
 	lw_engine_t *e = x->engine;
 	lw_hot_t hot;
 
-	x->rank = lw_hotpath_weighed(e->hotpath, x->route, x->rank, e->hub->now_us);
-	if (lw_hotpath_admits(e->hotpath, x->route, x->rank, e->hub->now_us, &hot))
+	x->rank = lw_hotpath_weighed(e->overload, x->route, x->rank, e->hub->now_us);
+	if (lw_hotpath_admits(e->overload, x->route, x->rank, e->hub->now_us, &hot))
 		return true;
 	lw_log(LW_LOG_path_busy, "id=%s route=%s rank=%u by=%s level=%u", x->request_id, x->route,
 	       x->rank, hot.service, hot.level);
@@ -226,7 +227,7 @@
 }
 
 /* false: the request was refused */
-static bool may_begin(lw_exchange_t *x, const lw_organisation_t *org)
+static bool admit(lw_exchange_t *x, const lw_organisation_t *org)
 {
 	if (x->engine->hub->callers_refused && !x->parent_id.len) {
 		lw_exchange_refuse(x, LW_FAIL_LEAVING);
@@ -238,8 +239,8 @@
 }
 
 /* false: it has no route, or nobody known sent it, and it was answered */
-static bool settle_terms(lw_exchange_t *x, const lw_exchange_ask_t *ask,
-			 const lw_organisation_t **org)
+static bool resolve_route(lw_exchange_t *x, const lw_exchange_request_t *req,
+			  const lw_organisation_t **org)
 {
 	lw_engine_t *e = x->engine;
 	lw_gate_parent_t parent = { 0 };
@@ -248,22 +249,22 @@
 
 	if (!e->conf) {
 		e->stats.no_config++;
-		turn_away(x, 503, "starting", LW_COMEBACK_DEFAULT_MS);
+		reject_early(x, 503, "starting", LW_COMEBACK_DEFAULT_MS);
 		return false;
 	}
-	r = lw_fleetconf_match(e->conf, ask->head->host, ask->head->target);
+	r = lw_fleetconf_match(e->conf, req->head->host, req->head->target);
 	if (!r || !r->nsplits) {
 		e->stats.no_route++;
-		turn_away(x, 404, "no_route", 0);
+		reject_early(x, 404, "no_route", 0);
 		return false;
 	}
 	find_parent(x, &parent);
-	who = identify(x, ask->head, r, org);
+	who = identify(x, req->head, r, org);
 	if (who != LW_IDENTITY_KNOWN) {
-		turn_away_unknown(x, who, r);
+		reject_unidentified(x, who, r);
 		return false;
 	}
-	apply_route(x, ask, r, *org);
+	apply_route(x, req, r, *org);
 	e->stats.nested += x->nested;
 	if (x->parent_id.len) {
 		x->rank = parent.rank;
@@ -278,7 +279,8 @@
  * has arrived of its body is given, to find it a server. Returns NULL if the
  * request has been answered already.
  */
-lw_exchange_t *lw_exchange_start(lw_engine_t *e, lw_reply_t *reply, const lw_exchange_ask_t *ask)
+lw_exchange_t *lw_exchange_start(lw_engine_t *e, lw_reply_t *reply,
+				 const lw_exchange_request_t *req)
 {
 	lw_exchange_t *x = xcalloc(1, sizeof(*x));
 	const lw_organisation_t *org;
@@ -286,18 +288,18 @@
 	x->sink.ops = &lw_exchange_sink_ops;
 	x->engine = e;
 	x->reply = reply;
-	x->body_length = ask->body_length;
-	x->fin = ask->body_length == 0;
-	x->request_id = lw_str_dup(lw_httphead_find(ask->head, LW_HEADER_REQUEST_ID));
-	ev_timer_init(&x->timer, lw_exchange_timeout, 0, 0);
-	ev_timer_init(&x->hold, lw_exchange_hold_over, 0, 0);
-	ev_timer_init(&x->stall, lw_exchange_stalled, 0, 0);
+	x->body_length = req->body_length;
+	x->fin = req->body_length == 0;
+	x->request_id = lw_str_dup(lw_httphead_find(req->head, LW_HEADER_REQUEST_ID));
+	ev_timer_init(&x->timer, lw_exchange_on_timeout, 0, 0);
+	ev_timer_init(&x->hold, lw_exchange_on_hold_timer, 0, 0);
+	ev_timer_init(&x->stall, lw_exchange_on_stall_timer, 0, 0);
 	e->active++;
 	DL_APPEND(e->exchanges, x);
 	e->stats.requests++;
-	if (!settle_terms(x, ask, &org) || !may_begin(x, org))
+	if (!resolve_route(x, req, &org) || !admit(x, org))
 		return NULL;
-	compose_head(x, ask->head);
+	compose_head(x, req->head);
 	lw_retrylimit_request(&x->service->retries, &e->place.terms, e->hub->now_us);
 	if (x->repeat)
 		lw_retrylimit_repeat(&x->service->retries, &e->place.terms, e->hub->now_us);
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -19,7 +19,7 @@
 }
 
 /* lw_exchange_left_ms() - milliseconds until @until_us, 0 if it has passed. */
-uint32_t lw_exchange_left_ms(const lw_exchange_t *x, uint64_t until_us)
+uint32_t lw_exchange_remaining_ms(const lw_exchange_t *x, uint64_t until_us)
 {
 	uint64_t now = x->engine->hub->now_us;
 
@@ -60,7 +60,7 @@
 }
 
 /* lw_exchange_attempt_ended() - the lw_exchange_attempt under way has an outcome */
-void lw_exchange_attempt_ended(lw_exchange_t *x, bool ok)
+void lw_exchange_attempt_done(lw_exchange_t *x, bool ok)
 {
 	x->call = NULL;
 	ev_timer_stop(x->engine->hub->loop, &x->stall);
@@ -78,18 +78,19 @@
 
 	if (!call)
 		return;
-	lw_exchange_attempt_ended(x, false);
+	lw_exchange_attempt_done(x, false);
 	call->ops->cancel(call);
 }
 
 /* lw_exchange_tell_parent() - the request this call was made for will fail with it, wherever it runs */
-void lw_exchange_tell_parent(const lw_exchange_t *x)
+void lw_exchange_mark_parent_failed(const lw_exchange_t *x)
 {
 	if (x->parent_id.len)
 		lw_gate_note_failure(&x->engine->gate, x->parent_id);
 }
 
-static void answer_own(lw_exchange_t *x, uint32_t status, lw_fail_t why, uint32_t retry_after_ms)
+static void answer_locally(lw_exchange_t *x, uint32_t status, lw_fail_t why,
+			   uint32_t retry_after_ms)
 {
 	lw_reply_t *reply = x->reply;
 
@@ -100,17 +101,17 @@
 	       x->attempts.given, x->attempts.handed_back, x->attempts.maybe_ran,
 	       (uint32_t)((x->engine->hub->now_us - x->started_us) / 1000), retry_after_ms,
 	       x->last[0] ? x->last : "none", x->limited, (unsigned long long)x->print.value.whole);
-	lw_exchange_tell_parent(x);
+	lw_exchange_mark_parent_failed(x);
 	lw_exchange_release(x);
 	if (reply)
-		reply->ops->own(reply, status, lw_fail_name(why), retry_after_ms);
+		reply->ops->local_answer(reply, status, lw_fail_name(why), retry_after_ms);
 }
 
 /* lw_exchange_refuse() - the request has not run and will not: the caller is told when to come back. */
 void lw_exchange_refuse(lw_exchange_t *x, lw_fail_t why)
 {
 	uint32_t room = x->room_ms ? x->room_ms : LW_COMEBACK_DEFAULT_MS;
-	uint32_t ms = lw_comeback_ms(room, x->priority, lw_exchange_left_ms(x, x->deadline_us),
+	uint32_t ms = lw_comeback_ms(room, x->priority, lw_exchange_remaining_ms(x, x->deadline_us),
 				     lw_hub_random(x->engine->hub, UINT32_MAX));
 
 	/* all that held it are certain to refuse it until then */
@@ -123,7 +124,7 @@
 	x->engine->stats.refused++;
 	x->engine->stats.over_limit += why == LW_FAIL_OVER_LIMIT;
 	lw_exchange_count(x, LW_ROUTE_REFUSED);
-	answer_own(x, why == LW_FAIL_OVER_LIMIT ? 429 : 503, why, ms);
+	answer_locally(x, why == LW_FAIL_OVER_LIMIT ? 429 : 503, why, ms);
 }
 
 /*
@@ -139,12 +140,12 @@
 	case LW_VERDICT_TIMEOUT:
 		x->engine->stats.timeouts++;
 		lw_exchange_count(x, LW_ROUTE_TIMEOUT);
-		answer_own(x, 504, why, 0);
+		answer_locally(x, 504, why, 0);
 		break;
 	default:
 		x->engine->stats.failed++;
 		lw_exchange_count(x, LW_ROUTE_FAILED);
-		answer_own(x, 502, why, 0);
+		answer_locally(x, 502, why, 0);
 		break;
 	}
 }
@@ -162,14 +163,14 @@
 }
 
 /* lw_engine_end_all() - answer every request that is still under way, before the process exits. */
-void lw_engine_end_all(lw_engine_t *e)
+void lw_engine_finish_all(lw_engine_t *e)
 {
 	while (e->exchanges)
 		end_for_exit(e->exchanges);
 }
 
 /* lw_exchange_timeout() - timer: the caller waits no longer, or the route's timeout is over. */
-void lw_exchange_timeout(struct ev_loop *loop, ev_timer *w, int revents)
+void lw_exchange_on_timeout(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_exchange_t *x = w->data;
 	bool under_way = x->call != NULL;
@@ -186,9 +187,9 @@
 }
 
 /* lw_exchange_full() - the caller's body is ahead of the server: read no more. */
-bool lw_exchange_full(const lw_exchange_t *x)
+bool lw_exchange_body_full(const lw_exchange_t *x)
 {
-	return lw_bytebuf_len(&x->body) >= 2 * BODY_KEPT_BYTES;
+	return lw_bytebuf_len(&x->body) >= 2 * BODY_RETAINED_BYTES;
 }
 
 /* lw_exchange_body() - more of the request's body; @fin: that was all. */
@@ -204,11 +205,11 @@
 		lw_exchange_attempt(x, LW_FAIL_NO_SERVER);
 		return;
 	}
-	lw_exchange_feed(x);
+	lw_exchange_send_body(x);
 }
 
 /* lw_exchange_taken() - the caller took @bytes of the answer's body. */
-void lw_exchange_taken(lw_exchange_t *x, uint32_t bytes)
+void lw_exchange_credit(lw_exchange_t *x, uint32_t bytes)
 {
 	if (!x->dead && x->call)
 		x->call->ops->credit(x->call, bytes);
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -29,7 +29,8 @@
 	void (*answer)(lw_reply_t *r, const lw_answer_t *a, lw_str_t body, bool fin);
 	void (*data)(lw_reply_t *r, lw_str_t data, bool fin);
 	/* an answer of this node; @retry_after_ms 0: none is told */
-	void (*own)(lw_reply_t *r, uint32_t status, const char *why, uint32_t retry_after_ms);
+	void (*local_answer)(lw_reply_t *r, uint32_t status, const char *why,
+			     uint32_t retry_after_ms);
 	/* the answer began and cannot be completed */
 	void (*cut)(lw_reply_t *r);
 	/* more of the request's body can be taken */
@@ -68,13 +69,13 @@
 	lw_gate_t gate;
 	lw_mesh_t *mesh;
 	lw_quarantine_t *quarantine;
-	lw_hotpath_t *hotpath;
+	lw_hotpath_t *overload;
 	lw_quota_t *quota;
 	lw_fleetconf_t *conf; /* in force; NULL before the first */
 	uint32_t active;
 	lw_exchange_t *exchanges; /* the oldest first */
 	/* a server said that it is another one than the list says; may be NULL */
-	void (*list_is_old)(void *ctx);
+	void (*on_stale_list)(void *ctx);
 	/* how old this node's news from the store is; may be NULL */
 	uint32_t (*news_age_ms)(void *ctx);
 	void *ctx;
@@ -83,19 +84,20 @@
 } lw_engine_t;
 
 /* A request as the caller's connection hands it over. */
-typedef struct lw_exchange_ask {
+typedef struct lw_exchange_request {
 	const lw_httphead_t *head;
 	int64_t body_length; /* -1: chunked */
 	uint64_t late_us; /* it lay unread so long while the host was suspended */
-} lw_exchange_ask_t;
+} lw_exchange_request_t;
 
 uint64_t lw_engine_oldest_us(const lw_engine_t *e);
-void lw_engine_end_all(lw_engine_t *e);
-lw_exchange_t *lw_exchange_start(lw_engine_t *e, lw_reply_t *reply, const lw_exchange_ask_t *ask);
+void lw_engine_finish_all(lw_engine_t *e);
+lw_exchange_t *lw_exchange_start(lw_engine_t *e, lw_reply_t *reply,
+				 const lw_exchange_request_t *req);
 void lw_exchange_send(lw_exchange_t *x);
 void lw_exchange_body(lw_exchange_t *x, lw_str_t data, bool fin);
-bool lw_exchange_full(const lw_exchange_t *x);
-void lw_exchange_taken(lw_exchange_t *x, uint32_t bytes);
+bool lw_exchange_body_full(const lw_exchange_t *x);
+void lw_exchange_credit(lw_exchange_t *x, uint32_t bytes);
 void lw_exchange_cancel(lw_exchange_t *x);
 
 #endif
--- a/src/exchange_int.h
+++ b/src/exchange_int.h
@@ -8,7 +8,7 @@
 #include "exchange.h"
 
 /* a body up to this size is kept so that it can be sent to another server */
-#define BODY_KEPT_BYTES LW_CALL_WINDOW
+#define BODY_RETAINED_BYTES LW_CALL_WINDOW
 
 struct lw_exchange {
 	lw_sink_t sink;
@@ -46,45 +46,45 @@
 	ev_timer timer;
 	ev_timer stall; /* until the lw_exchange_attempt counts as stalled */
 	ev_timer hold; /* until the next look for a host */
-	lw_fail_t held_for;
-	bool went_round; /* every host was tried anew once, as none had received it */
+	lw_fail_t hold_reason;
+	bool retried_all_hosts; /* every host was tried anew once, as none had received it */
 	bool resending; /* the attempt under way goes to a server that had it already */
 	bool nested;
 	bool repeat; /* made by a run that was a repeat */
 	uint32_t above; /* levels of requests above it */
 	bool fin; /* the body is complete */
 	bool answering; /* the caller has the head of the answer */
-	bool answered_well; /* it is no failure of the server */
+	bool answered_ok; /* it is no failure of the server */
 	bool limited; /* what decided last was a limit that backend servers have named */
-	bool heard_of_ends; /* word of servers that ended under it elsewhere was waited for */
+	bool waited_for_crash_reports; /* word of servers that ended under it elsewhere was waited for */
 	bool awaits_body; /* which tells whether servers ended under the request */
 	bool dead;
 };
 
 extern const lw_sink_ops_t lw_exchange_sink_ops;
-uint32_t lw_exchange_left_ms(const lw_exchange_t *x, uint64_t until_us);
-void lw_exchange_timeout(struct ev_loop *loop, ev_timer *w, int revents);
+uint32_t lw_exchange_remaining_ms(const lw_exchange_t *x, uint64_t until_us);
+void lw_exchange_on_timeout(struct ev_loop *loop, ev_timer *w, int revents);
 void lw_exchange_refuse(lw_exchange_t *x, lw_fail_t why);
 void lw_exchange_release(lw_exchange_t *x);
 void lw_exchange_count(const lw_exchange_t *x, lw_route_outcome_t outcome);
-void lw_exchange_attempt_ended(lw_exchange_t *x, bool ok);
+void lw_exchange_attempt_done(lw_exchange_t *x, bool ok);
 void lw_exchange_abandon_call(lw_exchange_t *x);
-void lw_exchange_tell_parent(const lw_exchange_t *x);
+void lw_exchange_mark_parent_failed(const lw_exchange_t *x);
 void lw_exchange_answer_verdict(lw_exchange_t *x, lw_verdict_t v, lw_fail_t why);
 void lw_exchange_after_failure(lw_exchange_t *x, lw_fail_t why);
-void lw_exchange_feed(lw_exchange_t *x);
-void lw_exchange_stalled(struct ev_loop *loop, ev_timer *w, int revents);
-void lw_exchange_hold_over(struct ev_loop *loop, ev_timer *w, int revents);
+void lw_exchange_send_body(lw_exchange_t *x);
+void lw_exchange_on_stall_timer(struct ev_loop *loop, ev_timer *w, int revents);
+void lw_exchange_on_hold_timer(struct ev_loop *loop, ev_timer *w, int revents);
 void lw_exchange_attempt(lw_exchange_t *x, lw_fail_t last);
 void lw_exchange_attempt_at(lw_exchange_t *x, lw_place_host_t *host, lw_fail_t last);
-void lw_exchange_give(lw_exchange_t *x);
+void lw_exchange_submit(lw_exchange_t *x);
 lw_quarantine_verdict_t lw_exchange_verdict(const lw_exchange_t *x);
-bool lw_exchange_detain(lw_exchange_t *x, lw_fail_t last);
-void lw_exchange_tell_answered(const lw_exchange_t *x);
-void lw_exchange_go_on(lw_exchange_t *x, lw_fail_t why);
-bool lw_exchange_wait_for_word(lw_exchange_t *x);
+bool lw_exchange_apply_quarantine(lw_exchange_t *x, lw_fail_t last);
+void lw_exchange_clear_suspect(const lw_exchange_t *x);
+void lw_exchange_retry_or_answer(lw_exchange_t *x, lw_fail_t why);
+bool lw_exchange_wait_for_crash_reports(lw_exchange_t *x);
 bool lw_exchange_wait_for_host(lw_exchange_t *x, lw_fail_t last);
-lw_place_ask_t lw_exchange_choice(const lw_exchange_t *x);
+lw_place_ask_t lw_exchange_place_query(const lw_exchange_t *x);
 void lw_exchange_log_retry(const lw_exchange_t *x, lw_fail_t last);
 
 #endif
--- a/src/exchattempt.c
+++ b/src/exchattempt.c
@@ -4,8 +4,8 @@
 #include "log.h"
 
 /* an attempt that takes so many times as long as usual counts as stalled */
-#define STALL_FACTOR   8
-#define STALL_LEAST_US 150000
+#define STALL_FACTOR 8
+#define STALL_MIN_US 150000
 /*
  * Longest useful wait of a new request in front of a server, in percent of
  * its latency objective: refused, it can go elsewhere or come back in time.
@@ -18,7 +18,7 @@
  */
 #define HOLD_NEW_PERCENT    12
 #define HOLD_NESTED_PERCENT 40
-#define HOLD_STEP_MS	    40
+#define HOLD_INTERVAL_MS    40
 
 /*
  * lw_exchange_log_retry() - the inputs of the choice: why again, and how loaded
@@ -33,11 +33,12 @@
 	       "id=%s route=%s after=%s server=%s busy=%u limit=%u news_ms=%llu given=%u handed_back=%u left_ms=%u",
 	       x->request_id, x->route, lw_fail_name(last), h->id, h->load.running + h->load.queued,
 	       h->load.limit, h->load_us ? (unsigned long long)((now - h->load_us) / 1000) : 0,
-	       x->attempts.given, x->attempts.handed_back, lw_exchange_left_ms(x, x->give_up_us));
+	       x->attempts.given, x->attempts.handed_back,
+	       lw_exchange_remaining_ms(x, x->give_up_us));
 }
 
 /* lw_exchange_choice() - what the choice of a host depends on now. */
-lw_place_ask_t lw_exchange_choice(const lw_exchange_t *x)
+lw_place_ask_t lw_exchange_place_query(const lw_exchange_t *x)
 {
 	lw_hub_t *hub = x->engine->hub;
 
@@ -51,43 +52,43 @@
 
 	if (!usual_us || !x->attempts.idempotent)
 		return;
-	if (after_us < STALL_LEAST_US)
-		after_us = STALL_LEAST_US;
-	ev_timer_init(&x->stall, lw_exchange_stalled, (double)after_us / 1e6, 0);
+	if (after_us < STALL_MIN_US)
+		after_us = STALL_MIN_US;
+	ev_timer_init(&x->stall, lw_exchange_on_stall_timer, (double)after_us / 1e6, 0);
 	x->stall.data = x;
 	ev_timer_start(x->engine->hub->loop, &x->stall);
 }
 
-static void fill_ask(const lw_exchange_t *x, lw_ask_t *ask)
+static void fill_request(const lw_exchange_t *x, lw_call_request_t *req)
 {
-	uint32_t left_ms = lw_exchange_left_ms(x, x->give_up_us);
+	uint32_t left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	/*
 	 * A call of a running request that is refused loses all that was done for
 	 * it, and a request that may have run can be told no more than 502.
 	 */
 	bool may_wait = x->nested || x->attempts.maybe_ran;
 
-	ask->head = (lw_str_t){ lw_bytebuf_head(&x->head), lw_bytebuf_len(&x->head) };
-	ask->request_id = lw_str_c(x->request_id);
-	ask->target = lw_str_c(x->host->id);
-	ask->body_length = x->body_length;
-	ask->deadline_ms = left_ms;
-	ask->queue_ms = may_wait ? left_ms : x->target_ms * QUEUE_NEW_PERCENT / 100;
-	ask->target_left_ms = lw_exchange_left_ms(x, x->target_us);
-	ask->rank = x->rank;
-	ask->repeat = x->repeat || x->attempts.given;
-	ask->notice = x->host->load.notice;
+	req->head = (lw_str_t){ lw_bytebuf_head(&x->head), lw_bytebuf_len(&x->head) };
+	req->request_id = lw_str_c(x->request_id);
+	req->target = lw_str_c(x->host->id);
+	req->body_length = x->body_length;
+	req->deadline_ms = left_ms;
+	req->queue_ms = may_wait ? left_ms : x->target_ms * QUEUE_NEW_PERCENT / 100;
+	req->target_left_ms = lw_exchange_remaining_ms(x, x->target_us);
+	req->rank = x->rank;
+	req->repeat = x->repeat || x->attempts.given;
+	req->notice = x->host->load.notice;
 }
 
 /* lw_exchange_hold_over() - timer: look again for a host, also among those tried. */
-void lw_exchange_hold_over(struct ev_loop *loop, ev_timer *w, int revents)
+void lw_exchange_on_hold_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_exchange_t *x = w->data;
 
 	(void)loop;
 	(void)revents;
 	x->tried.n = 0;
-	lw_exchange_attempt(x, x->held_for);
+	lw_exchange_attempt(x, x->hold_reason);
 }
 
 /*
@@ -95,7 +96,7 @@
  * is refused at its root, or it all runs down to the missing server and fails
  * there (seen as runs that end in 500; half of all in one partition).
  */
-static void tell_shut(lw_exchange_t *x)
+static void report_service_unavailable(lw_exchange_t *x)
 {
 	lw_engine_t *e = x->engine;
 	lw_load_t shut = { .level = LW_LEVEL_SHUT };
@@ -103,7 +104,7 @@
 
 	lw_str_copy(hot.service, sizeof(hot.service), lw_str_c(x->service->name));
 	lw_hots_add(&shut.hots, &hot);
-	lw_hotpath_told(e->hotpath, x->route, &shut.hots, 0, e->hub->now_us);
+	lw_hotpath_told(e->overload, x->route, &shut.hots, 0, e->hub->now_us);
 	if (x->parent_id.len)
 		lw_gate_note_call(&e->gate, x->parent_id, &shut);
 }
@@ -115,11 +116,11 @@
 	uint64_t hold_us = (uint64_t)x->target_ms * percent * 10;
 
 	if (x->attempts.given ||
-	    x->engine->hub->now_us - x->started_us + HOLD_STEP_MS * 1000 >= hold_us)
+	    x->engine->hub->now_us - x->started_us + HOLD_INTERVAL_MS * 1000 >= hold_us)
 		return false;
-	x->held_for = last;
+	x->hold_reason = last;
 	x->attempts.handed_back = 0;
-	ev_timer_init(&x->hold, lw_exchange_hold_over, HOLD_STEP_MS / 1000.0, 0);
+	ev_timer_init(&x->hold, lw_exchange_on_hold_timer, HOLD_INTERVAL_MS / 1000.0, 0);
 	x->hold.data = x;
 	ev_timer_start(x->engine->hub->loop, &x->hold);
 	return true;
@@ -133,7 +134,7 @@
 	if (unreached && lw_exchange_wait_for_host(x, last))
 		return;
 	if (unreached)
-		tell_shut(x);
+		report_service_unavailable(x);
 	lw_exchange_answer_verdict(x, lw_retry_final(&x->attempts, last), last);
 }
 
@@ -141,16 +142,16 @@
  * Connections to all hosts may fall silent together while new ones work: none
  * of them had the request, and each may have it over its next connection.
  */
-static bool may_go_round(const lw_exchange_t *x, lw_fail_t last)
+static bool may_retry_all_hosts(const lw_exchange_t *x, lw_fail_t last)
 {
-	return last == LW_FAIL_UNSENT && !x->attempts.given && !x->went_round;
+	return last == LW_FAIL_UNSENT && !x->attempts.given && !x->retried_all_hosts;
 }
 
 /* no host is left that has not been tried */
 static void no_host(lw_exchange_t *x, lw_fail_t last)
 {
-	if (may_go_round(x, last)) {
-		x->went_round = true;
+	if (may_retry_all_hosts(x, last)) {
+		x->retried_all_hosts = true;
 		x->tried.n = 0;
 		lw_exchange_attempt(x, last);
 		return;
@@ -159,27 +160,27 @@
 }
 
 /* lw_exchange_give() - hand the request to the host that was chosen */
-void lw_exchange_give(lw_exchange_t *x)
+void lw_exchange_submit(lw_exchange_t *x)
 {
 	lw_engine_t *e = x->engine;
 	lw_str_t body = { lw_bytebuf_head(&x->body), lw_bytebuf_len(&x->body) };
-	lw_ask_t ask;
+	lw_call_request_t req;
 	lw_fail_t why = LW_FAIL_UNSENT;
 	uint32_t retry_after_ms = 0;
 	bool whole;
 
 	lw_place_sent(x->host);
-	fill_ask(x, &ask);
+	fill_request(x, &req);
 	if (body.len > LW_CALL_WINDOW)
 		body.len = LW_CALL_WINDOW;
 	whole = x->fin && body.len == lw_bytebuf_len(&x->body);
 	x->sent = body.len;
 	x->credit = LW_CALL_WINDOW;
 	if (x->host->self)
-		x->call = lw_gate_submit(&e->gate, &x->sink, &ask, body, whole, &why,
+		x->call = lw_gate_submit(&e->gate, &x->sink, &req, body, whole, &why,
 					 &retry_after_ms);
 	else
-		x->call = lw_mesh_call(e->mesh, x->host->node, &x->sink, &ask, body, whole);
+		x->call = lw_mesh_call(e->mesh, x->host->node, &x->sink, &req, body, whole);
 	if (x->call) {
 		watch_for_stall(x);
 		return;
@@ -197,13 +198,13 @@
 /* lw_exchange_attempt() - give the request to the best host that has not had it; @last: why again */
 void lw_exchange_attempt(lw_exchange_t *x, lw_fail_t last)
 {
-	lw_place_ask_t ask = lw_exchange_choice(x);
+	lw_place_ask_t req = lw_exchange_place_query(x);
 	lw_place_host_t *host = NULL;
 
-	if (lw_exchange_detain(x, last))
+	if (lw_exchange_apply_quarantine(x, last))
 		return;
 	if (x->tried.n < LW_PLACE_TRIED_MAX)
-		host = lw_place_pick(x->service, &x->tried, &ask);
+		host = lw_place_pick(x->service, &x->tried, &req);
 	if (host)
 		lw_exchange_attempt_at(x, host, last);
 	else
@@ -218,5 +219,5 @@
 		lw_exchange_log_retry(x, last);
 	lw_place_try(&x->tried, x->host);
 	x->resending = false;
-	lw_exchange_give(x);
+	lw_exchange_submit(x);
 }
--- a/src/exchdetain.c
+++ b/src/exchdetain.c
@@ -4,7 +4,7 @@
 #include "log.h"
 
 /* servers that end under copies of a request end within this time, in seconds */
-#define WORD_WAIT_S 0.02
+#define CRASH_REPORT_WAIT_S 0.02
 
 /* lw_exchange_verdict() - what is to be done with the request, as far as it is known by now. */
 lw_quarantine_verdict_t lw_exchange_verdict(const lw_exchange_t *x)
@@ -13,7 +13,7 @@
 				     x->engine->hub->now_us);
 }
 
-static void hold_back(lw_exchange_t *x)
+static void reject_held(lw_exchange_t *x)
 {
 	x->room_ms = lw_quarantine_held_ms(x->engine->quarantine, &x->print.value,
 					   x->engine->hub->now_us);
@@ -24,7 +24,7 @@
 }
 
 /* given to one server, the same for all nodes, whose node lets one of its kind in at a time */
-static void try_alone(lw_exchange_t *x, lw_fail_t last)
+static void start_trial(lw_exchange_t *x, lw_fail_t last)
 {
 	const lw_suspect_t *s = lw_quarantine_find(x->engine->quarantine, &x->print.value);
 	lw_place_host_t *host = NULL;
@@ -42,22 +42,22 @@
  * lw_exchange_detain() - if servers ended under the request: try it alone, wait for
  * that, or answer. False if it may be given to any server; @last: why again.
  */
-bool lw_exchange_detain(lw_exchange_t *x, lw_fail_t last)
+bool lw_exchange_apply_quarantine(lw_exchange_t *x, lw_fail_t last)
 {
 	lw_quarantine_verdict_t v = lw_exchange_verdict(x);
 
 	if (v == LW_QUARANTINE_HELD)
-		hold_back(x);
+		reject_held(x);
 	else if (v == LW_QUARANTINE_TRIAL)
-		try_alone(x, last);
+		start_trial(x, last);
 	return v != LW_QUARANTINE_CLEAR;
 }
 
-static void on_word_due(struct ev_loop *loop, ev_timer *w, int revents)
+static void on_crash_reports_due(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	(void)loop;
 	(void)revents;
-	lw_exchange_go_on(w->data, LW_FAIL_BROKEN);
+	lw_exchange_retry_or_answer(w->data, LW_FAIL_BROKEN);
 }
 
 /*
@@ -65,23 +65,24 @@
  * goes to the next one, word that others ended under a copy of it is waited for. Sent
  * on at once each copy would end one server more.
  */
-bool lw_exchange_wait_for_word(lw_exchange_t *x)
+bool lw_exchange_wait_for_crash_reports(lw_exchange_t *x)
 {
-	if (x->heard_of_ends || !lw_quarantine_find(x->engine->quarantine, &x->print.value))
+	if (x->waited_for_crash_reports ||
+	    !lw_quarantine_find(x->engine->quarantine, &x->print.value))
 		return false;
-	x->heard_of_ends = true;
-	ev_timer_init(&x->hold, on_word_due, WORD_WAIT_S, 0);
+	x->waited_for_crash_reports = true;
+	ev_timer_init(&x->hold, on_crash_reports_due, CRASH_REPORT_WAIT_S, 0);
 	x->hold.data = x;
 	ev_timer_start(x->engine->hub->loop, &x->hold);
 	return true;
 }
 
 /* lw_exchange_tell_answered() - a server answered it in full and lives: others hear that it is not the cause. */
-void lw_exchange_tell_answered(const lw_exchange_t *x)
+void lw_exchange_clear_suspect(const lw_exchange_t *x)
 {
 	const lw_suspect_t *news;
 
-	if (!x->answered_well)
+	if (!x->answered_ok)
 		return;
 	news = lw_quarantine_answered(x->engine->quarantine, &x->print.value,
 				      x->engine->hub->now_us);
--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -4,7 +4,7 @@
 #include "log.h"
 
 /* without room elsewhere a stalled attempt is looked at again after this, in seconds */
-#define STALL_AGAIN_S 0.1
+#define STALL_RECHECK_S 0.1
 
 static bool take_retry(lw_exchange_t *x)
 {
@@ -12,10 +12,10 @@
 	lw_retryplace_t at = {
 		.nodes = e->place.nsharing,
 		.above = x->above,
-		.below = lw_hotpath_depth(e->hotpath, x->route),
+		.below = lw_hotpath_depth(e->overload, x->route),
 		.rank = x->rank,
 		.urgent = lw_fleetconf_most_urgent(e->conf, x->rank / LW_RANKS_PER_PRIORITY),
-		.used_below = lw_hotpath_retry_used(e->hotpath, x->route),
+		.used_below = lw_hotpath_retry_used(e->overload, x->route),
 	};
 
 	if (lw_retrylimit_take(&x->service->retries, &e->place.terms, &at, e->hub->now_us)) {
@@ -27,27 +27,27 @@
 }
 
 /* give the request to the best of the servers that had it; one of them takes it */
-static void send_again(lw_exchange_t *x, lw_fail_t why, const lw_place_ask_t *ask)
+static void resend_to_best(lw_exchange_t *x, lw_fail_t why, const lw_place_ask_t *req)
 {
-	x->host = lw_place_pick_again(x->service, &x->tried, ask);
+	x->host = lw_place_pick_again(x->service, &x->tried, req);
 	x->attempts.resent++;
 	x->resending = true;
 	lw_exchange_log_retry(x, why);
-	lw_exchange_give(x);
+	lw_exchange_submit(x);
 }
 
 /*
  * Once more to one of the servers that had it, the best of them; false if none
  * takes it. @paid: the allowance has counted it.
  */
-static bool resend(lw_exchange_t *x, lw_fail_t why, bool paid)
+static bool try_resend(lw_exchange_t *x, lw_fail_t why, bool paid)
 {
-	lw_place_ask_t ask = lw_exchange_choice(x);
-	const lw_place_host_t *host = lw_place_pick_again(x->service, &x->tried, &ask);
+	lw_place_ask_t req = lw_exchange_place_query(x);
+	const lw_place_host_t *host = lw_place_pick_again(x->service, &x->tried, &req);
 
-	if (!lw_place_takes(host, ask.now_us) || !(paid || take_retry(x)))
+	if (!lw_place_takes(host, req.now_us) || !(paid || take_retry(x)))
 		return false;
-	send_again(x, why, &ask);
+	resend_to_best(x, why, &req);
 	return true;
 }
 
@@ -71,20 +71,20 @@
 	else if (!x->resending)
 		x->attempts.given++;
 	x->resending = false;
-	if (!lw_fail_not_run(why))
+	if (!lw_fail_not_executed(why))
 		x->attempts.maybe_ran = true;
-	if (why != LW_FAIL_BROKEN || !lw_exchange_wait_for_word(x))
-		lw_exchange_go_on(x, why);
+	if (why != LW_FAIL_BROKEN || !lw_exchange_wait_for_crash_reports(x))
+		lw_exchange_retry_or_answer(x, why);
 }
 
 /* lw_exchange_go_on() - the outcome of the last attempt is counted: try elsewhere or answer */
-void lw_exchange_go_on(lw_exchange_t *x, lw_fail_t why)
+void lw_exchange_retry_or_answer(lw_exchange_t *x, lw_fail_t why)
 {
 	lw_verdict_t v;
 
-	x->attempts.left_ms = lw_exchange_left_ms(x, x->give_up_us);
+	x->attempts.left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	x->attempts.body_kept = x->body_base == 0;
-	if (lw_exchange_detain(x, why))
+	if (lw_exchange_apply_quarantine(x, why))
 		return;
 	v = lw_retry_verdict(&x->attempts, why);
 	if (v == LW_VERDICT_AGAIN) {
@@ -93,7 +93,7 @@
 	} else if (v == LW_VERDICT_AGAIN_COUNTED && take_retry(x)) {
 		lw_exchange_attempt(x, why);
 	} else if ((v != LW_VERDICT_SAME && v != LW_VERDICT_SAME_COUNTED) ||
-		   !resend(x, why, v == LW_VERDICT_SAME)) {
+		   !try_resend(x, why, v == LW_VERDICT_SAME)) {
 		lw_exchange_answer_verdict(x, lw_retry_final(&x->attempts, why), why);
 	}
 }
@@ -102,7 +102,7 @@
  * The node told its load: placement, and the levels along the request's path.
  * @served: with a whole answer, so that what it ran at each service is known.
  */
-static void took_load(lw_exchange_t *x, const lw_load_t *load, bool served)
+static void apply_load(lw_exchange_t *x, const lw_load_t *load, bool served)
 {
 	lw_engine_t *e = x->engine;
 	uint32_t used = lw_retrylimit_used(&x->service->retries, &e->place.terms, e->place.nsharing,
@@ -112,11 +112,11 @@
 	if (x->host && lw_place_told(x->host, load, e->hub->now_us))
 		lw_log(LW_LOG_server_leaving, "server=%s by=node", x->host->id);
 	lw_place_tell(x->service, load->ran_us, e->hub->now_us, &path.hots);
-	lw_hotpath_told(e->hotpath, x->route, &path.hots, path.depth, e->hub->now_us);
+	lw_hotpath_told(e->overload, x->route, &path.hots, path.depth, e->hub->now_us);
 	if (served && !x->nested)
-		lw_hotpath_worked(e->hotpath, x->route, x->rank / LW_RANKS_PER_PRIORITY, &path.hots,
-				  e->hub->now_us);
-	lw_hotpath_used(e->hotpath, x->route, path.retry_used);
+		lw_hotpath_worked(e->overload, x->route, x->rank / LW_RANKS_PER_PRIORITY,
+				  &path.hots, e->hub->now_us);
+	lw_hotpath_used(e->overload, x->route, path.retry_used);
 	if (used > path.retry_used)
 		path.retry_used = used;
 	if (x->parent_id.len)
@@ -128,7 +128,7 @@
  * that from then on, also where neither the store nor the node beside the server
  * can be heard: the server would get requests that meet its end.
  */
-static void heed_notice(const lw_exchange_t *x, const lw_answer_t *a)
+static void apply_notice(const lw_exchange_t *x, const lw_answer_t *a)
 {
 	lw_notice_said_t said = { 0 };
 
@@ -137,13 +137,13 @@
 		lw_log(LW_LOG_server_leaving, "server=%s by=passed_on", x->host->id);
 }
 
-static void host_replaced(lw_exchange_t *x)
+static void on_host_replaced(lw_exchange_t *x)
 {
 	lw_engine_t *e = x->engine;
 
 	lw_place_replaced(x->host, e->hub->now_us);
-	if (e->list_is_old)
-		e->list_is_old(e->ctx);
+	if (e->on_stale_list)
+		e->on_stale_list(e->ctx);
 }
 
 static void sink_fail(lw_sink_t *s, lw_fail_t why, uint32_t retry_after_ms, const lw_load_t *load)
@@ -153,20 +153,20 @@
 	if (x->dead)
 		return;
 	if (load)
-		took_load(x, load, false);
+		apply_load(x, load, false);
 	x->limited = load && load->notice.limited;
 	if (retry_after_ms && (!x->room_ms || retry_after_ms < x->room_ms))
 		x->room_ms = retry_after_ms;
 	if (why == LW_FAIL_MISDIRECTED && x->host)
-		host_replaced(x);
+		on_host_replaced(x);
 	if (!lw_fail_reached_server(why))
 		lw_place_handed_back(&x->tried, x->host);
-	lw_exchange_attempt_ended(x, why < LW_FAIL_SHED && why != LW_FAIL_NO_SERVER);
+	lw_exchange_attempt_done(x, why < LW_FAIL_SHED && why != LW_FAIL_NO_SERVER);
 	lw_exchange_after_failure(x, why);
 }
 
 /* lw_exchange_feed() - bytes of the body that the lw_exchange_attempt may take now */
-void lw_exchange_feed(lw_exchange_t *x)
+void lw_exchange_send_body(lw_exchange_t *x)
 {
 	size_t held = lw_bytebuf_len(&x->body);
 	size_t at = (size_t)(x->sent - x->body_base);
@@ -194,54 +194,54 @@
 
 	if (x->dead)
 		return;
-	was_full = lw_exchange_full(x);
+	was_full = lw_exchange_body_full(x);
 	x->credit += bytes;
-	if (x->body_base || !x->fin || lw_bytebuf_len(&x->body) > BODY_KEPT_BYTES) {
+	if (x->body_base || !x->fin || lw_bytebuf_len(&x->body) > BODY_RETAINED_BYTES) {
 		size_t drop = (size_t)(x->sent - x->body_base);
 
-		if (drop && x->sent > BODY_KEPT_BYTES / 2) {
+		if (drop && x->sent > BODY_RETAINED_BYTES / 2) {
 			lw_bytebuf_consume(&x->body, drop);
 			x->body_base += drop;
 		}
 	}
 	if (!(x->fin && x->sent == x->body_base + lw_bytebuf_len(&x->body)))
-		lw_exchange_feed(x);
-	if (was_full && !lw_exchange_full(x) && x->reply)
+		lw_exchange_send_body(x);
+	if (was_full && !lw_exchange_body_full(x) && x->reply)
 		x->reply->ops->resume(x->reply);
 }
 
 /* what follows the failure @status that a server answered with */
-static lw_verdict_t after_answer(const lw_exchange_t *x, uint32_t status)
+static lw_verdict_t verdict_for_answer(const lw_exchange_t *x, uint32_t status)
 {
 	lw_attempts_t a = x->attempts;
 
 	a.given += !x->resending;
-	a.left_ms = lw_exchange_left_ms(x, x->give_up_us);
+	a.left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	a.body_kept = x->body_base == 0;
 	return lw_retry_answer(&a, status);
 }
 
 /* the answer is a failure of the server: ask again instead of passing it on, if that may be */
-static bool ask_again(lw_exchange_t *x, uint32_t status, bool fin)
+static bool retry_after_answer(lw_exchange_t *x, uint32_t status, bool fin)
 {
-	lw_verdict_t v = after_answer(x, status);
-	lw_place_ask_t ask = lw_exchange_choice(x);
+	lw_verdict_t v = verdict_for_answer(x, status);
+	lw_place_ask_t req = lw_exchange_place_query(x);
 
 	if (v == LW_VERDICT_FAIL)
 		return false;
 	if (v == LW_VERDICT_SAME_COUNTED &&
-	    !lw_place_takes(lw_place_pick_again(x->service, &x->tried, &ask), ask.now_us))
+	    !lw_place_takes(lw_place_pick_again(x->service, &x->tried, &req), req.now_us))
 		return false;
 	if (!take_retry(x))
 		return false;
 	x->attempts.given += !x->resending;
 	x->attempts.maybe_ran = true;
 	if (fin)
-		lw_exchange_attempt_ended(x, false);
+		lw_exchange_attempt_done(x, false);
 	else
 		lw_exchange_abandon_call(x);
 	if (v == LW_VERDICT_SAME_COUNTED)
-		send_again(x, LW_FAIL_BROKEN, &ask);
+		resend_to_best(x, LW_FAIL_BROKEN, &req);
 	else
 		lw_exchange_attempt(x, LW_FAIL_BROKEN);
 	return true;
@@ -255,20 +255,21 @@
 
 	if (x->dead)
 		return;
-	heed_notice(x, a);
+	apply_notice(x, a);
 	if (load)
-		took_load(x, load, fin && a->status < 500);
-	if (a->status >= 500 && !(load && load->call_failed) && ask_again(x, a->status, fin))
+		apply_load(x, load, fin && a->status < 500);
+	if (a->status >= 500 && !(load && load->call_failed) &&
+	    retry_after_answer(x, a->status, fin))
 		return;
 	if (a->status >= 500)
-		lw_exchange_tell_parent(x);
+		lw_exchange_mark_parent_failed(x);
 	x->answering = true;
-	x->answered_well = a->status < 500;
+	x->answered_ok = a->status < 500;
 	x->engine->stats.answered++;
 	lw_exchange_count(x, a->status < 500 ? LW_ROUTE_ANSWERED : LW_ROUTE_SERVER_FAILED);
 	if (fin) {
-		lw_exchange_tell_answered(x);
-		lw_exchange_attempt_ended(x, a->status < 500);
+		lw_exchange_clear_suspect(x);
+		lw_exchange_attempt_done(x, a->status < 500);
 		lw_exchange_release(x);
 	}
 	if (reply)
@@ -283,8 +284,8 @@
 	if (x->dead)
 		return;
 	if (fin) {
-		lw_exchange_tell_answered(x);
-		lw_exchange_attempt_ended(x, true);
+		lw_exchange_clear_suspect(x);
+		lw_exchange_attempt_done(x, true);
 		lw_exchange_release(x);
 	}
 	if (reply)
@@ -292,19 +293,19 @@
 }
 
 /* look again in a moment whether another server has room */
-static void watch_for_room(lw_exchange_t *x)
+static void schedule_room_check(lw_exchange_t *x)
 {
 	struct ev_loop *loop = x->engine->hub->loop;
 
 	ev_timer_stop(loop, &x->stall);
-	ev_timer_init(&x->stall, lw_exchange_stalled, STALL_AGAIN_S, 0);
+	ev_timer_init(&x->stall, lw_exchange_on_stall_timer, STALL_RECHECK_S, 0);
 	x->stall.data = x;
 	ev_timer_start(loop, &x->stall);
 }
 
 /* the call under way is given up for another try: @v says where, @room is a host that has room */
 static void try_elsewhere(lw_exchange_t *x, lw_verdict_t v, lw_place_host_t *room,
-			  const lw_place_ask_t *ask)
+			  const lw_place_ask_t *req)
 {
 	if (!take_retry(x))
 		return;
@@ -314,7 +315,7 @@
 	if (v == LW_VERDICT_AGAIN_COUNTED)
 		lw_exchange_attempt_at(x, room, LW_FAIL_BROKEN);
 	else
-		send_again(x, LW_FAIL_BROKEN, ask);
+		resend_to_best(x, LW_FAIL_BROKEN, req);
 }
 
 /*
@@ -324,28 +325,28 @@
  * @sure: is known to have room for: given up for a refusal there it is lost
  * (502), though its server is at work.
  */
-static void give_up_for_room(lw_exchange_t *x, bool sure)
+static void abandon_stalled(lw_exchange_t *x, bool sure)
 {
-	lw_place_ask_t ask = lw_exchange_choice(x);
-	const lw_place_host_t *again = lw_place_pick_again(x->service, &x->tried, &ask);
+	lw_place_ask_t req = lw_exchange_place_query(x);
+	const lw_place_host_t *again = lw_place_pick_again(x->service, &x->tried, &req);
 	lw_place_host_t *room = NULL;
 	lw_verdict_t v;
 
 	if (x->tried.n < LW_PLACE_TRIED_MAX)
-		room = lw_place_pick_room(x->service, &x->tried, &ask, sure);
-	x->attempts.left_ms = lw_exchange_left_ms(x, x->give_up_us);
+		room = lw_place_pick_room(x->service, &x->tried, &req, sure);
+	x->attempts.left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	x->attempts.body_kept = x->body_base == 0;
 	v = lw_exchange_verdict(x) == LW_QUARANTINE_CLEAR ? lw_retry_silent(&x->attempts) :
 							    LW_VERDICT_FAIL;
 	if (!room && (sure || v == LW_VERDICT_AGAIN_COUNTED)) {
-		watch_for_room(x);
+		schedule_room_check(x);
 		return;
 	}
 	if (v == LW_VERDICT_SAME_COUNTED &&
-	    (again == x->host || !lw_place_takes(again, ask.now_us)))
+	    (again == x->host || !lw_place_takes(again, req.now_us)))
 		return;
 	if (v != LW_VERDICT_FAIL)
-		try_elsewhere(x, v, room, &ask);
+		try_elsewhere(x, v, room, &req);
 }
 
 static void sink_silent(lw_sink_t *s)
@@ -353,7 +354,7 @@
 	lw_exchange_t *x = (lw_exchange_t *)s;
 
 	if (!x->dead && !x->answering)
-		give_up_for_room(x, false);
+		abandon_stalled(x, false);
 }
 
 const lw_sink_ops_t lw_exchange_sink_ops = {
@@ -369,12 +370,12 @@
  * lost, or the server hangs, or the call has just waited long in a queue. A node
  * that stops breaks nothing off.
  */
-void lw_exchange_stalled(struct ev_loop *loop, ev_timer *w, int revents)
+void lw_exchange_on_stall_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_exchange_t *x = w->data;
 
 	(void)loop;
 	(void)revents;
 	if (!x->engine->hub->leaving && !x->dead && !x->answering)
-		give_up_for_room(x, true);
+		abandon_stalled(x, true);
 }
--- a/src/gate.c
+++ b/src/gate.c
@@ -11,40 +11,40 @@
 /* what a body of a request still queued may hold in memory, in bytes */
 #define QUEUE_BYTES_MAX (32u * 1024 * 1024)
 /* waiting requests are looked through for expired ones so often, in seconds */
-#define EXPIRY_STEP_S 0.02
+#define EXPIRY_INTERVAL_S 0.02
 /* first guess of that time, before any request has run, us */
-#define SERVICE_FIRST_US 50000
+#define SERVICE_INITIAL_US 50000
 /* a request that runs so many times as long as usual may have lost its answer */
-#define LOST_FACTOR   8
-#define LOST_LEAST_US 100000
+#define LOST_FACTOR 8
+#define LOST_MIN_US 100000
 /* the average of failures fades by this in each step: it halves in about 3 s */
-#define FAILING_FADES 0.977
+#define FAILING_DECAY 0.977
 /* the longest run of late counts half after this, us */
-#define LONGEST_HALVES_US 7000000
+#define LONGEST_HALF_LIFE_US 7000000
 /* a server that took no connection is tried again after this, us */
-#define DOWN_US 250000
+#define DOWN_RETRY_US 250000
 /* steps without work after which the level's timer stops */
-#define QUIET_STEPS 20
+#define IDLE_STEPS_MAX 20
 /* a limit below this counts as this one in the level, requests a second */
-#define LEVEL_LEAST_PER_S 0.1
-#define JOB_OF_WAITER(w)  ((lw_job_t *)(void *)((char *)(w)-offsetof(lw_job_t, waiter)))
+#define LEVEL_MIN_PER_S	 0.1
+#define JOB_OF_WAITER(w) ((lw_job_t *)(void *)((char *)(w)-offsetof(lw_job_t, waiter)))
 
 /* slots of the backend server that are in use */
-static uint32_t occupied(const lw_gate_t *g)
+static uint32_t busy_slots(const lw_gate_t *g)
 {
-	return g->running > g->lost ? g->running - g->lost : 0;
+	return g->running > g->lost_answers ? g->running - g->lost_answers : 0;
 }
 
 /* what is known of the backend server here */
-static void own_load(const lw_gate_t *g, lw_load_t *out)
+static void server_load(const lw_gate_t *g, lw_load_t *out)
 {
-	out->running = occupied(g);
+	out->running = busy_slots(g);
 	out->level = g->level.level;
 	out->failing = (uint32_t)(g->failing * 1000);
 	out->queued = (uint32_t)g->queue.len;
-	out->limit = g->refusing ? 0 : g->limit;
+	out->limit = g->exiting ? 0 : g->limit;
 	out->service_us = (uint32_t)g->service_us;
-	out->leaving = lw_gate_leaving(g) || g->refusing || g->hub->peers_told;
+	out->leaving = lw_gate_leaving(g) || g->exiting || g->hub->peers_told;
 	out->down = g->hub->now_us < g->down_until_us;
 	out->call_failed = false;
 	out->ran_us = 0;
@@ -61,9 +61,9 @@
  */
 void lw_gate_load(const lw_gate_t *g, lw_load_t *out)
 {
-	uint32_t slots = lw_pace_slots(&g->pace, g->service_us);
+	uint32_t slots = lw_pace_slots(&g->ratelimit, g->service_us);
 
-	own_load(g, out);
+	server_load(g, out);
 	if (out->limit > slots)
 		out->limit = slots;
 }
@@ -84,9 +84,9 @@
 		g->slots = slots;
 		g->limit = lw_admit_limit(slots);
 	}
-	g->tells_load = true;
-	g->told_busy = running + waiting;
-	g->since_told = 0;
+	g->reports_load = true;
+	g->reported_busy = running + waiting;
+	g->started_since_report = 0;
 }
 
 /*
@@ -95,31 +95,31 @@
  * in ten lost nine slots in ten were held so. A request counts as lost when
  * it takes far longer than usual and the server says that it runs fewer.
  */
-static void count_lost(lw_gate_t *g)
+static void update_lost_answers(lw_gate_t *g)
 {
 	uint64_t limit_us = (uint64_t)(g->service_us * LOST_FACTOR);
-	uint32_t known = g->told_busy + g->since_told;
+	uint32_t known = g->reported_busy + g->started_since_report;
 	uint32_t overdue = 0;
 
-	if (limit_us < LOST_LEAST_US)
-		limit_us = LOST_LEAST_US;
-	g->lost = 0;
-	if (!g->tells_load || g->running <= known)
+	if (limit_us < LOST_MIN_US)
+		limit_us = LOST_MIN_US;
+	g->lost_answers = 0;
+	if (!g->reports_load || g->running <= known)
 		return;
 	for (const lw_job_t *j = g->by_id; j; j = j->hh.next)
 		overdue += j->started_us && g->hub->now_us - j->started_us > limit_us;
-	g->lost = overdue < g->running - known ? overdue : g->running - known;
+	g->lost_answers = overdue < g->running - known ? overdue : g->running - known;
 }
 
 /* the longest run of late; it fades with time, also while nothing runs */
 static double longest_run_us(const lw_gate_t *g)
 {
 	return g->longest_us *
-	       exp2(-(double)(g->hub->now_us - g->longest_at_us) / LONGEST_HALVES_US);
+	       exp2(-(double)(g->hub->now_us - g->longest_at_us) / LONGEST_HALF_LIFE_US);
 }
 
 /* lw_gate_ran() - a run took @took_us. */
-void lw_gate_ran(lw_gate_t *g, uint64_t took_us)
+void lw_gate_record_duration(lw_gate_t *g, uint64_t took_us)
 {
 	if ((double)took_us < longest_run_us(g))
 		return;
@@ -128,7 +128,7 @@
 }
 
 /* whether a request that starts after @wait_us is over before this process exits */
-static bool ends_in_time(const lw_gate_t *g, uint64_t wait_us, uint64_t deadline_us)
+static bool finishes_before_exit(const lw_gate_t *g, uint64_t wait_us, uint64_t deadline_us)
 {
 	const lw_hub_t *hub = g->hub;
 	uint64_t left_us = hub->exit_us > hub->now_us ? hub->exit_us - hub->now_us : 0;
@@ -138,13 +138,13 @@
 }
 
 /* what waits, once its turn has come: started, or handed back as it would meet the exit */
-static void start_next(lw_gate_t *g)
+static void start_first_queued(lw_gate_t *g)
 {
 	lw_job_t *j = JOB_OF_WAITER(g->queue.first);
 	uint64_t now_us = g->hub->now_us;
 	uint64_t left_us = j->deadline_us > now_us ? j->deadline_us - now_us : 0;
 
-	if (!ends_in_time(g, 0, left_us)) {
+	if (!finishes_before_exit(g, 0, left_us)) {
 		lw_job_fail(j, LW_FAIL_LEAVING);
 		return;
 	}
@@ -156,8 +156,9 @@
 /* lw_gate_dispatch() - start what may start now */
 void lw_gate_dispatch(lw_gate_t *g)
 {
-	while (g->queue.first && occupied(g) < g->limit && lw_pace_ready(&g->pace, g->hub->now_us))
-		start_next(g);
+	while (g->queue.first && busy_slots(g) < g->limit &&
+	       lw_pace_ready(&g->ratelimit, g->hub->now_us))
+		start_first_queued(g);
 	if (!g->queue.first)
 		ev_timer_stop(g->hub->loop, &g->expiry);
 }
@@ -174,39 +175,41 @@
 	lw_gate_dispatch(g);
 }
 
-static lw_fail_t refusal(const lw_gate_t *g, const lw_admit_state_t *st, const lw_ask_t *ask)
+static lw_fail_t refusal_reason(const lw_gate_t *g, const lw_admit_state_t *st,
+				const lw_call_request_t *req)
 {
-	if (lw_gate_leaving(g) && (!ask->target.len || lw_str_eq_c(ask->target, g->server_id)))
+	if (lw_gate_leaving(g) && (!req->target.len || lw_str_eq_c(req->target, g->server_id)))
 		return LW_FAIL_LEAVING;
-	if (g->refusing)
+	if (g->exiting)
 		return LW_FAIL_LEAVING;
-	if (!ends_in_time(g, (uint64_t)lw_admit_expected_wait_ms(st) * 1000,
-			  (uint64_t)ask->deadline_ms * 1000))
+	if (!finishes_before_exit(g, (uint64_t)lw_admit_expected_wait_ms(st) * 1000,
+				  (uint64_t)req->deadline_ms * 1000))
 		return LW_FAIL_LEAVING;
 	if (g->hub->now_us < g->down_until_us)
 		return LW_FAIL_NO_SERVER;
-	if (ask->target.len && lw_str_eq_c(ask->target, g->replaced_id))
+	if (req->target.len && lw_str_eq_c(req->target, g->replaced_id))
 		return LW_FAIL_NO_SERVER;
 	if (g->queued_bytes > QUEUE_BYTES_MAX)
 		return LW_FAIL_BUSY;
 	return LW_FAIL_NONE;
 }
 
-static lw_waiter_t waiter_of(const lw_gate_t *g, const lw_admit_state_t *st, const lw_ask_t *ask)
+static lw_waiter_t waiter_of(const lw_gate_t *g, const lw_admit_state_t *st,
+			     const lw_call_request_t *req)
 {
-	uint64_t left_us = (uint64_t)ask->target_left_ms * 1000;
+	uint64_t left_us = (uint64_t)req->target_left_ms * 1000;
 
 	return (lw_waiter_t){
-		.priority = ask->rank / LW_RANKS_PER_PRIORITY,
+		.priority = req->rank / LW_RANKS_PER_PRIORITY,
 		.late = left_us < (uint64_t)g->service_us,
 		.target_us = g->hub->now_us + left_us,
-		.expires_us = g->hub->now_us + (uint64_t)lw_admit_wait_ms(st, ask) * 1000,
+		.expires_us = g->hub->now_us + (uint64_t)lw_admit_wait_ms(st, req) * 1000,
 	};
 }
 
 /* what servers ended under is given to this one alone, or not at all */
-static bool may_be_given(const lw_gate_t *g, lw_quarantine_verdict_t verdict,
-			 const lw_fingerprint_t *print)
+static bool quarantine_admits(const lw_gate_t *g, lw_quarantine_verdict_t verdict,
+			      const lw_fingerprint_t *print)
 {
 	if (verdict == LW_QUARANTINE_CLEAR)
 		return true;
@@ -221,8 +224,8 @@
  * front of it. Returns the call, whose outcome @sink will hear; or NULL with
  * the reason in @why and when to come back, and @sink is not called.
  */
-lw_call_t *lw_gate_submit(lw_gate_t *g, lw_sink_t *sink, const lw_ask_t *ask, lw_str_t body,
-			  bool fin, lw_fail_t *why, uint32_t *retry_after_ms)
+lw_call_t *lw_gate_submit(lw_gate_t *g, lw_sink_t *sink, const lw_call_request_t *req,
+			  lw_str_t body, bool fin, lw_fail_t *why, uint32_t *retry_after_ms)
 {
 	lw_quarantine_verdict_t verdict;
 	lw_fingerprinter_t print;
@@ -230,36 +233,37 @@
 	lw_admit_state_t st;
 	lw_job_t *j;
 
-	lw_fingerprinter_begin(&print, ask->head, g->hub->names->header[LW_HEADER_ORGANISATION]);
+	lw_fingerprinter_begin(&print, req->head, g->hub->names->header[LW_HEADER_ORGANISATION]);
 	lw_fingerprinter_body(&print, body, fin);
-	lw_gate_take_word(g, &ask->notice);
+	lw_gate_accept_reported_limit(g, &req->notice);
 	verdict = lw_quarantine_verdict(g->quarantine, &print.value, g->hub->now_us);
-	lw_level_arrival(&g->level, ask->rank);
+	lw_level_arrival(&g->level, req->rank);
 	if (!ev_is_active(&g->step))
 		ev_timer_again(g->hub->loop, &g->step);
-	own_load(g, &st.load);
-	probe = waiter_of(g, &st, ask);
+	server_load(g, &st.load);
+	probe = waiter_of(g, &st, req);
 	st.ahead = (uint32_t)lw_waitq_ahead(&g->queue, &probe);
-	st.pace_ms = lw_pace_wait_ms(&g->pace, st.ahead, g->hub->now_us);
+	st.pace_ms = lw_pace_wait_ms(&g->ratelimit, st.ahead, g->hub->now_us);
 	*retry_after_ms = lw_admit_retry_after_ms(&st.load);
-	*why = refusal(g, &st, ask);
-	if (!*why && !may_be_given(g, verdict, &print.value))
+	*why = refusal_reason(g, &st, req);
+	if (!*why && !quarantine_admits(g, verdict, &print.value))
 		*why = LW_FAIL_BUSY;
 	if (!*why)
-		*why = lw_admit(&st, ask);
+		*why = lw_admit(&st, req);
 	if (*why) {
 		g->stats.refused[*why]++;
 		g->stats.paced += *why == LW_FAIL_BUSY && st.pace_ms;
 		return NULL;
 	}
-	j = lw_job_new(g, sink, ask);
+	j = lw_job_new(g, sink, req);
 	j->print = print;
-	j->tried = verdict == LW_QUARANTINE_TRIAL;
+	j->tried_alone = verdict == LW_QUARANTINE_TRIAL;
 	j->fin = fin;
 	lw_bytebuf_append_str(&j->body, body);
 	g->ncalls++;
 	HASH_ADD_KEYPTR(hh, g->by_id, j->request_id, strlen(j->request_id), j);
-	if (occupied(g) < g->limit && !g->queue.first && lw_pace_ready(&g->pace, g->hub->now_us)) {
+	if (busy_slots(g) < g->limit && !g->queue.first &&
+	    lw_pace_ready(&g->ratelimit, g->hub->now_us)) {
 		lw_job_start(j);
 		return &j->call;
 	}
@@ -278,7 +282,7 @@
 }
 
 /* lw_gate_hand_back() - what waits goes back unrun. */
-void lw_gate_hand_back(lw_gate_t *g, lw_fail_t why)
+void lw_gate_reject_queued(lw_gate_t *g, lw_fail_t why)
 {
 	lw_waiter_t *w;
 
@@ -293,24 +297,24 @@
 void lw_gate_server_down(lw_gate_t *g)
 {
 	if (g->hub->now_us < g->down_until_us) {
-		lw_gate_look_down(g);
+		lw_gate_confirm_crash(g);
 		return;
 	}
-	g->down_until_us = g->hub->now_us + DOWN_US;
+	g->down_until_us = g->hub->now_us + DOWN_RETRY_US;
 	lw_log(LW_LOG_backend_error, "server=%s why=no_connection queued=%zu", g->server_id,
 	       g->queue.len);
-	lw_gate_hand_back(g, LW_FAIL_NO_SERVER);
-	lw_gate_look_down(g);
+	lw_gate_reject_queued(g, LW_FAIL_NO_SERVER);
+	lw_gate_confirm_crash(g);
 }
 
 /*
  * lw_gate_refuse() - this node is about to exit: what waits is handed back,
  * nothing new is taken, what runs goes on.
  */
-void lw_gate_refuse(lw_gate_t *g)
+void lw_gate_stop_admitting(lw_gate_t *g)
 {
-	g->refusing = true;
-	lw_gate_hand_back(g, LW_FAIL_LEAVING);
+	g->exiting = true;
+	lw_gate_reject_queued(g, LW_FAIL_LEAVING);
 }
 
 /* what was learned of the process before says nothing of the new one */
@@ -319,11 +323,11 @@
 	g->replaced_id[0] = '\0';
 	g->down_until_us = 0;
 	g->failing = 0;
-	g->told_busy = 0;
-	g->since_told = 0;
+	g->reported_busy = 0;
+	g->started_since_report = 0;
 	/* what others told before the first list is of this process, unless they named another */
 	if (g->server_id[0] || !lw_notice_is_of(&g->notice, server->id, server->born_ms))
-		lw_gate_forget_notice(g);
+		lw_gate_reset_notice(g);
 }
 
 /*
@@ -354,7 +358,7 @@
 {
 	g->leaving = leaving;
 	if (leaving)
-		lw_gate_hand_back(g, LW_FAIL_LEAVING);
+		lw_gate_reject_queued(g, LW_FAIL_LEAVING);
 }
 
 static lw_job_t *job_by_id(const lw_gate_t *g, lw_str_t id)
@@ -407,27 +411,27 @@
 static lw_level_input_t level_input(const lw_gate_t *g)
 {
 	uint32_t queued = (uint32_t)g->queue.len;
-	double each_us = g->pace.on ? 1e6 / fmax(g->pace.per_s, LEVEL_LEAST_PER_S) : 0;
+	double each_us = g->ratelimit.on ? 1e6 / fmax(g->ratelimit.per_s, LEVEL_MIN_PER_S) : 0;
 
 	if (each_us > g->service_us / g->limit)
-		return (lw_level_input_t){ queued, occupied(g), 1, each_us };
-	return (lw_level_input_t){ queued, occupied(g), g->limit, g->service_us };
+		return (lw_level_input_t){ queued, busy_slots(g), 1, each_us };
+	return (lw_level_input_t){ queued, busy_slots(g), g->limit, g->service_us };
 }
 
 static void on_step(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_gate_t *g = w->data;
 	lw_level_input_t in = level_input(g);
-	bool quiet = !g->ncalls && !g->level.arrivals && g->level.level == LW_LEVEL_OPEN;
+	bool idle_now = !g->ncalls && !g->level.arrivals && g->level.level == LW_LEVEL_OPEN;
 
 	(void)revents;
-	g->quiet_steps = quiet ? g->quiet_steps + 1 : 0;
+	g->idle_steps = idle_now ? g->idle_steps + 1 : 0;
 	lw_level_step(&g->level, &in);
-	g->failing *= FAILING_FADES;
-	count_lost(g);
+	g->failing *= FAILING_DECAY;
+	update_lost_answers(g);
 	if (g->queue.first)
 		lw_gate_dispatch(g);
-	if (g->quiet_steps > QUIET_STEPS)
+	if (g->idle_steps > IDLE_STEPS_MAX)
 		ev_timer_stop(loop, &g->step);
 }
 
@@ -438,12 +442,12 @@
 	g->hub = hub;
 	g->quarantine = quarantine;
 	g->limit = lw_admit_limit(0);
-	g->service_us = SERVICE_FIRST_US;
-	ev_timer_init(&g->expiry, on_expiry, 0, EXPIRY_STEP_S);
+	g->service_us = SERVICE_INITIAL_US;
+	ev_timer_init(&g->expiry, on_expiry, 0, EXPIRY_INTERVAL_S);
 	g->expiry.data = g;
 	lw_level_init(&g->level);
-	lw_gate_look_init(g);
+	lw_gate_crash_init(g);
 	ev_timer_init(&g->step, on_step, 0, LW_LEVEL_STEP_MS / 1000.0);
 	g->step.data = g;
-	lw_hub_on_tick(hub, lw_gate_close_old_idle, g);
+	lw_hub_on_tick(hub, lw_gate_close_expired_idle, g);
 }
--- a/src/gate.h
+++ b/src/gate.h
@@ -38,7 +38,7 @@
 
 typedef struct lw_crash_suspect {
 	lw_fingerprint_t print;
-	bool tried; /* alone */
+	bool tried_alone; /* alone */
 } lw_crash_suspect_t;
 
 /* A look whether the backend server has ended; see gatecrash.c. */
@@ -46,7 +46,7 @@
 	ev_timer due; /* runs while the look is under way */
 	ev_io io; /* of the connection that shows it */
 	uint64_t since_us; /* when the first connection broke */
-	uint32_t in_hand; /* requests whose connections broke */
+	uint32_t in_flight; /* requests whose connections broke */
 	uint32_t nsuspects; /* of these, known by their digests */
 	lw_crash_suspect_t suspects[LW_CRASH_SUSPECTS_MAX];
 } lw_crash_t;
@@ -56,25 +56,25 @@
 	uint32_t slots; /* of the backend server; 0: not known yet */
 	uint32_t limit; /* most requests at the backend server at once */
 	uint32_t running; /* requests given to it without an answer yet */
-	uint32_t lost; /* of these, whose answers seem to be lost */
-	uint32_t told_busy; /* requests it said it runs or queues */
-	uint32_t since_told; /* requests given to it since */
-	bool tells_load;
+	uint32_t lost_answers; /* of these, whose answers seem to be lost */
+	uint32_t reported_busy; /* requests it said it runs or queues */
+	uint32_t started_since_report; /* requests given to it since */
+	bool reports_load;
 	double failing; /* moving average: 0 none of its requests fails, 1 all do */
 	double service_us; /* moving average of the time a request runs */
 	double longest_us; /* longest run of late */
 	uint64_t longest_at_us; /* when it ended; it fades from then on */
 	bool leaving; /* the backend server takes no new work */
 	uint64_t down_until_us; /* it took no connection: none is tried until then */
-	bool refusing; /* this node is about to exit */
+	bool exiting; /* this node is about to exit */
 	uint64_t server_born_ms; /* start of its process; 0: not told */
 	char server_id[LW_NAME_MAX]; /* of the backend server that is on this host now */
 	char replaced_id[LW_NAME_MAX]; /* the backend server said that it is not this one */
 	lw_notice_t notice; /* of the process of server_id */
-	lw_notice_limit_t named; /* the limit in it */
-	lw_pace_t pace; /* keeps to that */
-	void (*noticed)(void *ctx); /* the notice has changed */
-	void *noticed_ctx;
+	lw_notice_limit_t announced_limit; /* the limit in it */
+	lw_pace_t ratelimit; /* keeps to that */
+	void (*on_notice_change)(void *ctx); /* the notice has changed */
+	void *on_notice_change_ctx;
 	lw_waitq_t queue;
 	size_t queued_bytes;
 	lw_bconn_t *idle;
@@ -82,14 +82,14 @@
 	uint32_t ncalls; /* running or queued */
 	ev_timer expiry; /* runs while requests wait */
 	ev_timer step; /* of the level; runs while there is work */
-	uint32_t quiet_steps;
+	uint32_t idle_steps;
 	lw_level_t level;
 	struct lw_job *by_id; /* calls by request id */
 	lw_crash_t crash;
 	lw_quarantine_t *quarantine;
 	/* the backend server ended with crash.suspects in hand; before their outcomes are told */
-	void (*ended)(void *ctx, const lw_crash_t *crash);
-	void *ended_ctx;
+	void (*on_crash)(void *ctx, const lw_crash_t *crash);
+	void *on_crash_ctx;
 	lw_gate_stats_t stats;
 } lw_gate_t;
 
@@ -104,11 +104,11 @@
 void lw_gate_set_server(lw_gate_t *g, const lw_place_host_t *server);
 void lw_gate_set_leaving(lw_gate_t *g, bool leaving);
 bool lw_gate_leaving(const lw_gate_t *g);
-void lw_gate_heard(lw_gate_t *g, const lw_notice_said_t *said, uint64_t sent_us);
-lw_call_t *lw_gate_submit(lw_gate_t *g, lw_sink_t *sink, const lw_ask_t *ask, lw_str_t body,
-			  bool fin, lw_fail_t *why, uint32_t *retry_after_ms);
+void lw_gate_on_notice(lw_gate_t *g, const lw_notice_said_t *said, uint64_t sent_us);
+lw_call_t *lw_gate_submit(lw_gate_t *g, lw_sink_t *sink, const lw_call_request_t *req,
+			  lw_str_t body, bool fin, lw_fail_t *why, uint32_t *retry_after_ms);
 uint64_t lw_gate_oldest_us(const lw_gate_t *g);
-void lw_gate_refuse(lw_gate_t *g);
+void lw_gate_stop_admitting(lw_gate_t *g);
 void lw_gate_load(const lw_gate_t *g, lw_load_t *out);
 bool lw_gate_parent(const lw_gate_t *g, lw_str_t id, lw_gate_parent_t *out);
 void lw_gate_note_call(lw_gate_t *g, lw_str_t parent_id, const lw_load_t *load);
--- a/src/gate_int.h
+++ b/src/gate_int.h
@@ -33,11 +33,11 @@
 	int64_t window; /* answer bytes the sink will still take */
 	ev_timer timer;
 	bool fin; /* the request's body is complete */
-	bool head_passed; /* the sink has the head of the answer */
-	bool not_run; /* the backend server says that it did not run it */
+	bool head_sent; /* the sink has the head of the answer */
+	bool not_executed; /* the backend server says that it did not run it */
 	bool dead;
 	bool broken; /* its connection ended; told once it is known whether the server did */
-	bool tried; /* alone, as servers ended under it */
+	bool tried_alone; /* alone, as servers ended under it */
 	lw_fingerprinter_t print;
 	uint32_t rank;
 	bool repeat;
@@ -51,18 +51,18 @@
 void lw_job_fail(lw_job_t *j, lw_fail_t why);
 void lw_gate_learn_load(lw_gate_t *g, lw_str_t value);
 void lw_gate_keep_connection(lw_gate_t *g, lw_bconn_t *c);
-void lw_gate_close_old_idle(void *ctx);
+void lw_gate_close_expired_idle(void *ctx);
 lw_bconn_t *lw_gate_take_connection(lw_gate_t *g);
 void lw_job_start(lw_job_t *j);
 void lw_gate_dispatch(lw_gate_t *g);
-void lw_gate_ran(lw_gate_t *g, uint64_t took_us);
-void lw_gate_hand_back(lw_gate_t *g, lw_fail_t why);
-void lw_gate_take_word(lw_gate_t *g, const lw_notice_t *told);
-void lw_gate_forget_notice(lw_gate_t *g);
+void lw_gate_record_duration(lw_gate_t *g, uint64_t took_us);
+void lw_gate_reject_queued(lw_gate_t *g, lw_fail_t why);
+void lw_gate_accept_reported_limit(lw_gate_t *g, const lw_notice_t *told);
+void lw_gate_reset_notice(lw_gate_t *g);
 void lw_gate_server_down(lw_gate_t *g);
-void lw_gate_look(lw_job_t *j);
-void lw_gate_look_down(lw_gate_t *g);
-void lw_gate_look_init(lw_gate_t *g);
-lw_job_t *lw_job_new(lw_gate_t *g, lw_sink_t *sink, const lw_ask_t *ask);
+void lw_gate_check_crash(lw_job_t *j);
+void lw_gate_confirm_crash(lw_gate_t *g);
+void lw_gate_crash_init(lw_gate_t *g);
+lw_job_t *lw_job_new(lw_gate_t *g, lw_sink_t *sink, const lw_call_request_t *req);
 
 #endif
--- a/src/gateconn.c
+++ b/src/gateconn.c
@@ -9,7 +9,7 @@
 #define IDLE_DEFAULT_US 4000000
 
 /* one that was used within this time is not looked at again before the next request, us */
-#define USED_JUST_NOW_US 10000
+#define RECENTLY_USED_US 10000
 
 /* an idle connection ended: drop it from the list */
 static void on_idle_end(void *ctx)
@@ -51,7 +51,7 @@
  * lw_gate_close_old_idle() - A server closes an idle connection without a word at its limit; a request
  * sent at that moment is lost, and one that may not be repeated fails.
  */
-void lw_gate_close_old_idle(void *ctx)
+void lw_gate_close_expired_idle(void *ctx)
 {
 	lw_gate_t *g = ctx;
 
@@ -67,9 +67,9 @@
  * this host stood still; a request given to such a connection may have run for
  * all that can be said, and fails though no server had it.
  */
-static bool has_ended(const lw_gate_t *g, const lw_bconn_t *c)
+static bool closed_by_server(const lw_gate_t *g, const lw_bconn_t *c)
 {
-	return g->hub->now_us - c->idle_since_us > USED_JUST_NOW_US && lw_sock_stale(c->fd);
+	return g->hub->now_us - c->idle_since_us > RECENTLY_USED_US && lw_sock_stale(c->fd);
 }
 
 /* lw_gate_take_connection() - an idle connection or a new one; NULL if none can be begun. */
@@ -77,11 +77,11 @@
 {
 	lw_bconn_t *c;
 
-	lw_gate_close_old_idle(g);
+	lw_gate_close_expired_idle(g);
 	while ((c = g->idle) != NULL) {
 		g->idle = c->next;
 		g->nidle--;
-		if (!has_ended(g, c))
+		if (!closed_by_server(g, c))
 			return c;
 		lw_bconn_close(c);
 	}
--- a/src/gatecrash.c
+++ b/src/gatecrash.c
@@ -13,13 +13,13 @@
 #include "log.h"
 
 /* connections of a process that ends break within this time, in seconds */
-#define LOOK_AFTER_S 0.003
+#define CRASH_CHECK_DELAY_S 0.003
 /* a connection that is neither taken nor refused for so long says nothing, in seconds */
 #define CONNECT_WAIT_S 0.1
 /* connections that broke longer ago have nothing to do with this end, us */
-#define SAME_END_US 100000
+#define SAME_CRASH_US 100000
 
-static void close_look(lw_crash_t *c, struct ev_loop *loop)
+static void stop_check(lw_crash_t *c, struct ev_loop *loop)
 {
 	ev_timer_stop(loop, &c->due);
 	if (!ev_is_active(&c->io))
@@ -29,7 +29,7 @@
 }
 
 /* the calls whose outcome waited for the look */
-static void end_broken_jobs(lw_gate_t *g)
+static void fail_broken_jobs(lw_gate_t *g)
 {
 	lw_job_t *j, *next;
 
@@ -38,24 +38,24 @@
 		lw_job_fail(j, LW_FAIL_BROKEN);
 }
 
-static void settle(lw_gate_t *g, bool ended)
+static void finish_check(lw_gate_t *g, bool crashed)
 {
 	lw_crash_t *c = &g->crash;
 
-	close_look(c, g->hub->loop);
-	if (ended) {
+	stop_check(c, g->hub->loop);
+	if (crashed) {
 		lw_log(LW_LOG_server_ended, "server=%s in_hand=%u known=%u", g->server_id,
-		       c->in_hand, c->nsuspects);
-		if (g->ended)
-			g->ended(g->ended_ctx, c);
+		       c->in_flight, c->nsuspects);
+		if (g->on_crash)
+			g->on_crash(g->on_crash_ctx, c);
 		c->nsuspects = 0;
-		c->in_hand = 0;
+		c->in_flight = 0;
 	}
-	end_broken_jobs(g);
+	fail_broken_jobs(g);
 }
 
 /* whether a connection that still stands shows that the server lives */
-static bool shows_life(const lw_gate_t *g)
+static bool connection_alive(const lw_gate_t *g)
 {
 	for (const lw_job_t *j = g->by_id; j; j = j->hh.next)
 		if (j->conn && j->conn->established)
@@ -75,7 +75,7 @@
 	if (lw_sock_connect_error(w->fd) == ECONNREFUSED)
 		lw_gate_server_down(g);
 	else
-		settle(g, false);
+		finish_check(g, false);
 }
 
 static void on_due(struct ev_loop *loop, ev_timer *w, int revents)
@@ -85,9 +85,9 @@
 	int fd;
 
 	(void)revents;
-	if (ev_is_active(&c->io) || shows_life(g) ||
+	if (ev_is_active(&c->io) || connection_alive(g) ||
 	    lw_sock_start_connect(g->hub->set->backend, &fd)) {
-		settle(g, false);
+		finish_check(g, false);
 		return;
 	}
 	ev_io_set(&c->io, fd, EV_WRITE);
@@ -97,36 +97,37 @@
 }
 
 /* lw_gate_look() - the connection of @j broke with the request sent: has the server ended? */
-void lw_gate_look(lw_job_t *j)
+void lw_gate_check_crash(lw_job_t *j)
 {
 	lw_gate_t *g = j->gate;
 	lw_crash_t *c = &g->crash;
-	bool looking = ev_is_active(&c->due);
+	bool checking = ev_is_active(&c->due);
 
-	if (!looking && g->hub->now_us - c->since_us > SAME_END_US) {
+	if (!checking && g->hub->now_us - c->since_us > SAME_CRASH_US) {
 		c->since_us = g->hub->now_us;
 		c->nsuspects = 0;
-		c->in_hand = 0;
+		c->in_flight = 0;
 	}
 	j->broken = true;
-	c->in_hand++;
+	c->in_flight++;
 	if (j->print.known && c->nsuspects < LW_CRASH_SUSPECTS_MAX)
-		c->suspects[c->nsuspects++] = (lw_crash_suspect_t){ j->print.value, j->tried };
-	if (looking)
+		c->suspects[c->nsuspects++] =
+			(lw_crash_suspect_t){ j->print.value, j->tried_alone };
+	if (checking)
 		return;
-	ev_timer_set(&c->due, LOOK_AFTER_S, 0);
+	ev_timer_set(&c->due, CRASH_CHECK_DELAY_S, 0);
 	ev_timer_start(g->hub->loop, &c->due);
 }
 
 /* lw_gate_look_down() - the server refuses connections: what broke just now broke at its end. */
-void lw_gate_look_down(lw_gate_t *g)
+void lw_gate_confirm_crash(lw_gate_t *g)
 {
 	if (ev_is_active(&g->crash.due))
-		settle(g, true);
+		finish_check(g, true);
 }
 
 /* lw_gate_look_init() - nothing is known to be broken. */
-void lw_gate_look_init(lw_gate_t *g)
+void lw_gate_crash_init(lw_gate_t *g)
 {
 	ev_init(&g->crash.io, on_connected);
 	g->crash.io.data = g;
--- a/src/gatejob.c
+++ b/src/gatejob.c
@@ -57,7 +57,7 @@
  * One node sees few of a server's requests; the node beside it sees all. What
  * it tells lets every node turn away from a faulty server at the first answer.
  */
-static void took_outcome(lw_gate_t *g, bool failed)
+static void record_outcome(lw_gate_t *g, bool failed)
 {
 	g->failing += FAILING_EWMA * ((failed ? 1.0 : 0.0) - g->failing);
 }
@@ -73,7 +73,7 @@
 		return;
 	g->stats.refused[why]++;
 	if (lw_fail_reached_server(why))
-		took_outcome(g, true);
+		record_outcome(g, true);
 	lw_log(LW_LOG_call_ended,
 	       "id=%s server=%s why=%s print=%016llx ran_ms=%llu waited_ms=%llu running=%u queued=%zu limit=%u",
 	       j->request_id, j->target, lw_fail_name(why),
@@ -100,14 +100,14 @@
 	lw_job_fail(w->data, LW_FAIL_TIMEOUT);
 }
 
-static void pass_answer(lw_job_t *j, bool fin)
+static void forward_answer(lw_job_t *j, bool fin)
 {
 	lw_sink_t *sink = j->call.sink;
 	lw_str_t body = { lw_bytebuf_head(&j->answer), lw_bytebuf_len(&j->answer) };
 	lw_load_t load;
 
-	if (!j->head_passed) {
-		j->head_passed = true;
+	if (!j->head_sent) {
+		j->head_sent = true;
 		job_load(j, &load);
 		if (fin && j->answer_head.body_length < 0)
 			j->answer_head.body_length = (int64_t)body.len;
@@ -139,12 +139,12 @@
 }
 
 /* what the backend server announces with the answer; one that is not the target says nothing of it */
-static void heed_notice(const lw_job_t *j, const lw_httphead_t *h)
+static void apply_notice(const lw_job_t *j, const lw_httphead_t *h)
 {
 	lw_notice_said_t said = lw_httphead_notice(h);
 
 	if (h->status != 421 && strcmp(j->target, j->gate->server_id) == 0)
-		lw_gate_heard(j->gate, &said, j->started_us);
+		lw_gate_on_notice(j->gate, &said, j->started_us);
 }
 
 /*
@@ -156,15 +156,15 @@
 	lw_job_t *j = user;
 	lw_gate_t *g = j->gate;
 	lw_str_t id = lw_httphead_find(h, LW_HEADER_REQUEST_ID);
-	bool not_run = lw_httphead_find(h, LW_HEADER_NOT_RUN).ptr || h->status == 421;
+	bool not_executed = lw_httphead_find(h, LW_HEADER_NOT_RUN).ptr || h->status == 421;
 
 	lw_gate_learn_load(g, lw_httphead_find(h, LW_HEADER_LOAD));
-	if (j->request_id[0] && !lw_str_eq_c(id, j->request_id) && !(not_run && !id.ptr)) {
+	if (j->request_id[0] && !lw_str_eq_c(id, j->request_id) && !(not_executed && !id.ptr)) {
 		g->stats.invalid_answers++;
 		return false;
 	}
-	heed_notice(j, h);
-	j->not_run = not_run;
+	apply_notice(j, h);
+	j->not_executed = not_executed;
 	j->answer_head.status = h->status;
 	j->answer_head.body_length = h->body_length < 0 ? -1 : h->body_length;
 	lw_httphead_forward(h, false, &j->answer_head_text);
@@ -175,11 +175,11 @@
 {
 	lw_job_t *j = user;
 
-	if (j->not_run)
+	if (j->not_executed)
 		return;
 	lw_bytebuf_append_str(&j->answer, data);
-	if (j->head_passed || lw_bytebuf_len(&j->answer) > ANSWER_WHOLE_BYTES)
-		pass_answer(j, false);
+	if (j->head_sent || lw_bytebuf_len(&j->answer) > ANSWER_WHOLE_BYTES)
+		forward_answer(j, false);
 	if (!j->dead && j->window <= 0)
 		lw_bconn_pause(j->conn, true);
 }
@@ -199,9 +199,9 @@
 		lw_gate_keep_connection(g, c);
 	else
 		lw_bconn_close(c);
-	if (j->not_run && j->answer_head.status == 421)
+	if (j->not_executed && j->answer_head.status == 421)
 		lw_str_copy(g->replaced_id, sizeof(g->replaced_id), lw_str_c(j->target));
-	if (j->not_run) {
+	if (j->not_executed) {
 		lw_job_fail(j, j->answer_head.status == 421 ? LW_FAIL_MISDIRECTED : LW_FAIL_SHED);
 		return;
 	}
@@ -210,14 +210,14 @@
 	 * failed while they said they were healthy drew a third of all calls of a
 	 * service, and 12,700 requests were lost in five seconds.
 	 */
-	lw_gate_ran(g, took);
+	lw_gate_record_duration(g, took);
 	if (j->answer_head.status < 500)
 		g->service_us += SERVICE_EWMA * ((double)took - g->service_us);
 	g->stats.answered++;
-	took_outcome(g, j->answer_head.status >= 500 && !j->call_failed);
+	record_outcome(g, j->answer_head.status >= 500 && !j->call_failed);
 	/* told after this request has left, so that its place shows as free */
 	g->running--;
-	pass_answer(j, true);
+	forward_answer(j, true);
 	g->running++;
 	job_release(j);
 	lw_gate_dispatch(g);
@@ -232,7 +232,7 @@
 
 	j->conn = NULL;
 	if (sent) {
-		lw_gate_look(j);
+		lw_gate_check_crash(j);
 		return;
 	}
 	lw_job_fail(j, LW_FAIL_NO_SERVER);
@@ -299,8 +299,8 @@
 	j->conn = lw_gate_take_connection(g);
 	j->started_us = g->hub->now_us;
 	g->running++;
-	g->since_told++;
-	lw_pace_take(&g->pace, g->hub->now_us);
+	g->started_since_report++;
+	lw_pace_take(&g->ratelimit, g->hub->now_us);
 	if (!j->conn) {
 		lw_job_fail(j, LW_FAIL_NO_SERVER);
 		return;
@@ -375,23 +375,23 @@
 };
 
 /* lw_job_new() - a call that neither runs nor waits yet. */
-lw_job_t *lw_job_new(lw_gate_t *g, lw_sink_t *sink, const lw_ask_t *ask)
+lw_job_t *lw_job_new(lw_gate_t *g, lw_sink_t *sink, const lw_call_request_t *req)
 {
 	lw_job_t *j = xcalloc(1, sizeof(*j));
 
 	j->call.ops = &job_ops;
 	j->call.sink = sink;
 	j->gate = g;
-	j->body_length = ask->body_length;
+	j->body_length = req->body_length;
 	j->came_us = g->hub->now_us;
-	j->deadline_us = g->hub->now_us + (uint64_t)ask->deadline_ms * 1000;
-	j->target_us = g->hub->now_us + (uint64_t)ask->target_left_ms * 1000;
+	j->deadline_us = g->hub->now_us + (uint64_t)req->deadline_ms * 1000;
+	j->target_us = g->hub->now_us + (uint64_t)req->target_left_ms * 1000;
 	j->window = LW_CALL_WINDOW;
-	j->rank = ask->rank;
-	j->repeat = ask->repeat;
-	lw_bytebuf_append_str(&j->head, ask->head);
-	j->request_id = lw_str_dup(ask->request_id);
-	lw_str_copy(j->target, sizeof(j->target), ask->target);
+	j->rank = req->rank;
+	j->repeat = req->repeat;
+	lw_bytebuf_append_str(&j->head, req->head);
+	j->request_id = lw_str_dup(req->request_id);
+	lw_str_copy(j->target, sizeof(j->target), req->target);
 	ev_timer_init(&j->timer, on_job_timeout, 0, 0);
 	return j;
 }
--- a/src/gatenotice.c
+++ b/src/gatenotice.c
@@ -8,37 +8,37 @@
 /* the limit that was heard of is kept from now on */
 static void set_pace(lw_gate_t *g, uint64_t server)
 {
-	lw_pace_set(&g->pace, g->named.on, g->named.per_s, g->hub->now_us);
+	lw_pace_set(&g->ratelimit, g->announced_limit.on, g->announced_limit.per_s, g->hub->now_us);
 	g->notice.server = server;
-	g->notice.limited = g->named.on;
-	g->notice.limit_per_s = g->named.per_s;
+	g->notice.limited = g->announced_limit.on;
+	g->notice.limit_per_s = g->announced_limit.per_s;
 }
 
 /* lw_gate_take_word() - what the sender of a request knows of the backend server; counts before that was heard here. */
-void lw_gate_take_word(lw_gate_t *g, const lw_notice_t *told)
+void lw_gate_accept_reported_limit(lw_gate_t *g, const lw_notice_t *told)
 {
-	if (!told->limited || g->named.heard_us ||
+	if (!told->limited || g->announced_limit.heard_us ||
 	    (g->server_id[0] && !lw_notice_is_of(told, g->server_id, g->server_born_ms)))
 		return;
-	if (lw_notice_limit_told(&g->named, told->limit_per_s))
+	if (lw_notice_limit_told(&g->announced_limit, told->limit_per_s))
 		set_pace(g, told->server);
 }
 
 /* lw_gate_forget_notice() - the backend server has another process now. */
-void lw_gate_forget_notice(lw_gate_t *g)
+void lw_gate_reset_notice(lw_gate_t *g)
 {
 	memset(&g->notice, 0, sizeof(g->notice));
-	memset(&g->named, 0, sizeof(g->named));
-	lw_pace_set(&g->pace, false, 0, g->hub->now_us);
+	memset(&g->announced_limit, 0, sizeof(g->announced_limit));
+	lw_pace_set(&g->ratelimit, false, 0, g->hub->now_us);
 }
 
-static void heard_leaving(lw_gate_t *g)
+static void on_leaving(lw_gate_t *g)
 {
 	g->notice.leaving = true;
 	lw_log(LW_LOG_server_leaving, "server=%s by=answer", g->server_id);
-	lw_gate_hand_back(g, LW_FAIL_LEAVING);
-	if (g->noticed)
-		g->noticed(g->noticed_ctx);
+	lw_gate_reject_queued(g, LW_FAIL_LEAVING);
+	if (g->on_notice_change)
+		g->on_notice_change(g->on_notice_change_ctx);
 }
 
 /*
@@ -46,13 +46,13 @@
  * answer to a request sent at @sent_us. That it leaves holds for good: an answer
  * without it is an older one.
  */
-void lw_gate_heard(lw_gate_t *g, const lw_notice_said_t *said, uint64_t sent_us)
+void lw_gate_on_notice(lw_gate_t *g, const lw_notice_said_t *said, uint64_t sent_us)
 {
 	g->stats.invalid_limits += said->limit_invalid;
-	if (lw_notice_limit_hear(&g->named, said, sent_us, g->hub->now_us))
+	if (lw_notice_limit_hear(&g->announced_limit, said, sent_us, g->hub->now_us))
 		set_pace(g, g->notice.server);
 	if (said->leaving && !g->notice.leaving)
-		heard_leaving(g);
+		on_leaving(g);
 }
 
 /* lw_gate_leaving() - whether the backend server takes no new work, as the list or its answers say. */
--- a/src/heartbeat.c
+++ b/src/heartbeat.c
@@ -65,7 +65,7 @@
 	f.ping = &ping;
 	lw_counter_add(n->count.heartbeats, 1);
 	lw_counter_add(n->count.control_bytes, lw__frame__get_packed_size(&f) + 4);
-	if (!lw_pool_ask(n->pool, addr, &f, PING_MS, false, &reply))
+	if (!lw_pool_request(n->pool, addr, &f, PING_MS, false, &reply))
 		return;
 	if (reply->body_case == LW__FRAME__BODY_PONG && reply->pong->nonce == ping.nonce) {
 		/* a peer behind another address is known by the one we reached it at */
--- a/src/httpc.c
+++ b/src/httpc.c
@@ -18,7 +18,7 @@
 struct lw_httpc {
 	ne_session *sess;
 	int read_timeout_s;
-	const char *want; /* header to be copied from each answer; may be NULL */
+	const char *captured_name; /* header to be copied from each answer; may be NULL */
 };
 
 static pthread_once_t neon_once = PTHREAD_ONCE_INIT;
@@ -80,9 +80,9 @@
 }
 
 /* lw_httpc_want() - copy @header, which must stay, from each answer from now on. */
-void lw_httpc_want(lw_httpc_t *c, const char *header)
+void lw_httpc_capture_header(lw_httpc_t *c, const char *header)
 {
-	c->want = header;
+	c->captured_name = header;
 }
 
 /*
@@ -119,8 +119,8 @@
 		copy_hdr(req, "X-LW-Outcome", out->outcome, sizeof(out->outcome));
 		copy_hdr(req, "X-LW-Reason", out->reason, sizeof(out->reason));
 		copy_hdr(req, "X-LW-Index", out->index, sizeof(out->index));
-		if (c->want)
-			copy_hdr(req, c->want, out->wanted, sizeof(out->wanted));
+		if (c->captured_name)
+			copy_hdr(req, c->captured_name, out->captured, sizeof(out->captured));
 		out->retry_after_ms = hdr_uint(req, "X-LW-Retry-After-Ms");
 		out->retries_used = hdr_uint(req, "X-LW-Retries-Used");
 		out->no_retry = hdr_uint(req, "X-LW-No-Retry") != 0;
--- a/src/httpc.h
+++ b/src/httpc.h
@@ -28,7 +28,7 @@
 	char outcome[16];
 	char reason[24];
 	char index[24];
-	char wanted[24]; /* the header named with lw_httpc_want() */
+	char captured[24]; /* the header named with lw_httpc_want() */
 	unsigned retry_after_ms;
 	unsigned retries_used;
 	bool no_retry;
@@ -41,7 +41,7 @@
 
 lw_httpc_t *lw_httpc_new(const char *addr);
 void lw_httpc_free(lw_httpc_t *c);
-void lw_httpc_want(lw_httpc_t *c, const char *header);
+void lw_httpc_capture_header(lw_httpc_t *c, const char *header);
 void lw_httpc_call(lw_httpc_t *c, const char *method, const char *path, const lw_http_hdr_t *hdrs,
 		   size_t nhdr, lw_str_t body, int timeout_ms, bool idempotent,
 		   lw_http_reply_t *out);
--- a/src/httphead.c
+++ b/src/httphead.c
@@ -304,7 +304,7 @@
 	return f->meaning == LW_HEADER_CREDENTIAL || f->meaning == LW_HEADER_ORGANISATION;
 }
 
-static bool set_by_us(const lw_httpfield_t *f)
+static bool set_by_node(const lw_httpfield_t *f)
 {
 	return f->meaning == LW_HEADER_DEADLINE || f->meaning == LW_HEADER_TARGET ||
 	       f->meaning == LW_HEADER_CALLER || f->meaning == LW_HEADER_LOAD;
@@ -323,7 +323,7 @@
 	for (size_t i = 0; i < h->nfields; i++) {
 		const lw_httpfield_t *f = &h->fields[i];
 
-		if (f->hop || set_by_us(f) || str_is(f->name, "Content-Length"))
+		if (f->hop || set_by_node(f) || str_is(f->name, "Content-Length"))
 			continue;
 		if (drop_identity && is_identity(f))
 			continue;
--- a/src/meshcall.c
+++ b/src/meshcall.c
@@ -268,7 +268,7 @@
 void lw_mesh_on_open(lw_link_t *l, const Lw__Open *o)
 {
 	uint32_t late_ms = (uint32_t)(l->late_us / 1000);
-	lw_ask_t ask = {
+	lw_call_request_t ask = {
 		.head = lw_meshframe_str(o->head),
 		.request_id = lw_meshframe_str(o->request_id),
 		.target = lw_meshframe_str(o->target),
@@ -392,8 +392,8 @@
  * lw_mesh_call() - send a request to @node; @sink hears its outcome. NULL if
  * no connection can even be begun.
  */
-lw_call_t *lw_mesh_call(lw_mesh_t *m, const char *node, lw_sink_t *sink, const lw_ask_t *ask,
-			lw_str_t body, bool fin)
+lw_call_t *lw_mesh_call(lw_mesh_t *m, const char *node, lw_sink_t *sink,
+			const lw_call_request_t *ask, lw_str_t body, bool fin)
 {
 	lw_link_t *l = lw_link_to(m, node);
 	Lw__Open o = LW__OPEN__INIT;
--- a/src/outbound.c
+++ b/src/outbound.c
@@ -178,7 +178,7 @@
 	q.idempotency_key = (char *)rq->idem_key;
 	f.body_case = LW__FRAME__BODY_QUERY;
 	f.query = &q;
-	if (!lw_pool_ask(n->pool, addr, &f, LOOKUP_MS, true, &reply))
+	if (!lw_pool_request(n->pool, addr, &f, LOOKUP_MS, true, &reply))
 		return false;
 	found = reply->body_case == LW__FRAME__BODY_RECORD && reply->record->has_answer;
 	if (found)
--- a/src/pool.c
+++ b/src/pool.c
@@ -68,7 +68,7 @@
 	return pc;
 }
 
-static int take(lw_pool_t *p, const char *addr)
+static int take_idle(lw_pool_t *p, const char *addr)
 {
 	int fd = -1;
 
@@ -122,7 +122,7 @@
 {
 	bool fresh;
 
-	*fd = take(p, addr);
+	*fd = take_idle(p, addr);
 	fresh = *fd < 0;
 	if (fresh && lw_sock_connect(addr, POOL_CONNECT_MS, fd))
 		return LW_POOL_CONNECT;
@@ -140,7 +140,7 @@
 	return LW_POOL_WRITE;
 }
 
-static bool ask_on(int fd, const Lw__Frame *req, int timeout_ms, Lw__Frame **reply)
+static bool request_on(int fd, const Lw__Frame *req, int timeout_ms, Lw__Frame **reply)
 {
 	return !lw_frame_write(fd, req) && !lw_frame_read(fd, timeout_ms, timeout_ms, reply);
 }
@@ -151,14 +151,14 @@
  * else an idle one is tried first, which finds out whether it went silent.
  * False when no answer came within @timeout_ms.
  */
-bool lw_pool_ask(lw_pool_t *p, const char *addr, const Lw__Frame *req, int timeout_ms, bool fresh,
-		 Lw__Frame **reply)
+bool lw_pool_request(lw_pool_t *p, const char *addr, const Lw__Frame *req, int timeout_ms,
+		     bool fresh, Lw__Frame **reply)
 {
 	int connect_ms = timeout_ms < POOL_CONNECT_MS ? timeout_ms : POOL_CONNECT_MS;
-	int fd = fresh ? -1 : take(p, addr);
+	int fd = fresh ? -1 : take_idle(p, addr);
 
 	*reply = NULL;
-	if (fd >= 0 && !ask_on(fd, req, timeout_ms, reply)) {
+	if (fd >= 0 && !request_on(fd, req, timeout_ms, reply)) {
 		lw_sock_abort(fd);
 		drop_idle(p, addr);
 		fd = -1;
@@ -169,7 +169,7 @@
 	}
 	if (lw_sock_connect(addr, connect_ms, &fd))
 		return false;
-	if (!ask_on(fd, req, timeout_ms, reply)) {
+	if (!request_on(fd, req, timeout_ms, reply)) {
 		lw_sock_abort(fd);
 		return false;
 	}
@@ -191,7 +191,7 @@
 	f.body_case = LW__FRAME__BODY_QUERY;
 	f.query = &q;
 	__atomic_add_fetch(&p->queries, 1, __ATOMIC_RELAXED);
-	if (!lw_pool_ask(p, call->addr, &f, POOL_QUERY_MS, true, record))
+	if (!lw_pool_request(p, call->addr, &f, POOL_QUERY_MS, true, record))
 		return LW__RECORD_STATE__RECORD_NONE;
 	if ((*record)->body_case != LW__FRAME__BODY_RECORD ||
 	    (*record)->record->query_id != q.query_id) {
--- a/src/pool.h
+++ b/src/pool.h
@@ -39,8 +39,8 @@
 void lw_pool_free(lw_pool_t *p);
 lw_pool_fail_t lw_pool_call(lw_pool_t *p, const lw_pool_call_t *call, const Lw__Frame *req,
 			    Lw__Frame **reply);
-bool lw_pool_ask(lw_pool_t *p, const char *addr, const Lw__Frame *req, int timeout_ms, bool fresh,
-		 Lw__Frame **reply);
+bool lw_pool_request(lw_pool_t *p, const char *addr, const Lw__Frame *req, int timeout_ms,
+		     bool fresh, Lw__Frame **reply);
 void lw_pool_trim(lw_pool_t *p, uint32_t idle_ms);
 size_t lw_pool_idle_count(lw_pool_t *p);
 unsigned lw_pool_silent_replaced(const lw_pool_t *p);
--- a/src/probe.c
+++ b/src/probe.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 /* a check without an answer is given up, us; the next one begins anew */
-#define ANSWER_US 450000
+#define ANSWER_TIMEOUT_US 450000
 /* the path if the configuration names none */
 #define PATH_DEFAULT "/health"
 
@@ -26,8 +26,8 @@
 	lw_str_t id = lw_httphead_find(h, LW_HEADER_INSTANCE);
 	lw_notice_said_t said = lw_httphead_notice(h);
 
-	if (lw_str_eq_c(id, p->server_id) && p->heard)
-		p->heard(p->heard_ctx, &said, p->began_us);
+	if (lw_str_eq_c(id, p->server_id) && p->on_notice)
+		p->on_notice(p->on_notice_ctx, &said, p->began_us);
 	if (lw_httphead_find(h, LW_HEADER_NOT_RUN).ptr)
 		return true;
 	if (h->status == 200 && lw_str_eq_c(id, p->server_id))
@@ -80,7 +80,7 @@
 	p->hub = hub;
 }
 
-static void give_up(lw_probe_t *p)
+static void abort_check(lw_probe_t *p)
 {
 	if (p->conn)
 		lw_bconn_close(p->conn);
@@ -90,7 +90,7 @@
 /* lw_probe_reset() - forget what was learned; from now on @server_id must answer. */
 void lw_probe_reset(lw_probe_t *p, const char *server_id)
 {
-	give_up(p);
+	abort_check(p);
 	p->healthy_us = 0;
 	p->leaving = false;
 	lw_str_copy(p->server_id, sizeof(p->server_id), lw_str_c(server_id));
@@ -102,9 +102,9 @@
 	char head[2 * LW_NAME_MAX + 64];
 	int n;
 
-	if (p->conn && p->hub->now_us - p->began_us < ANSWER_US)
+	if (p->conn && p->hub->now_us - p->began_us < ANSWER_TIMEOUT_US)
 		return;
-	give_up(p);
+	abort_check(p);
 	p->began_us = p->hub->now_us;
 	p->conn = lw_bconn_open(p->hub, p->hub->set->backend);
 	if (!p->conn) {
--- a/src/probe.h
+++ b/src/probe.h
@@ -21,8 +21,8 @@
 	uint64_t healthy_us; /* it last said that it is healthy; 0: it did not */
 	bool leaving; /* it said otherwise, is another one, or takes no connection */
 	/* it announced this of itself; may be NULL */
-	void (*heard)(void *ctx, const lw_notice_said_t *said, uint64_t sent_us);
-	void *heard_ctx;
+	void (*on_notice)(void *ctx, const lw_notice_said_t *said, uint64_t sent_us);
+	void *on_notice_ctx;
 } lw_probe_t;
 
 void lw_probe_init(lw_probe_t *p, lw_hub_t *hub);
--- a/src/proxy.c
+++ b/src/proxy.c
@@ -166,7 +166,7 @@
 	p->platform = platform;
 	lw_hub_init(&p->hub, set, platform->names, lw_now_us() ^ (uint64_t)getpid() << 32);
 	p->engine.hub = &p->hub;
-	p->engine.list_is_old = lw_proxy_list_is_old;
+	p->engine.on_stale_list = lw_proxy_list_is_old;
 	p->engine.news_age_ms = lw_proxy_news_age_ms;
 	p->engine.ctx = p;
 	lw_place_node_addr(p->mesh_addr, sizeof(p->mesh_addr), set->backend, set->mesh_port);
@@ -178,7 +178,7 @@
 	lw_gate_init(&p->engine.gate, &p->hub, p->engine.quarantine);
 	lw_proxy_notice_init(p);
 	lw_proxy_crash_init(p);
-	p->engine.hotpath = lw_hotpath_new();
+	p->engine.overload = lw_hotpath_new();
 	p->engine.mesh = lw_mesh_new(&p->hub, &p->engine.gate, &lw_proxy_mesh_ops, p);
 	p->callers = lw_callers_new(&p->engine);
 	watch_signals(p);
--- a/src/proxycrash.c
+++ b/src/proxycrash.c
@@ -27,7 +27,7 @@
 	for (uint32_t i = 0; i < crash->nsuspects; i++) {
 		const lw_suspect_t *s =
 			lw_quarantine_ended(p->engine.quarantine, &prints[i], process,
-					    crash->suspects[i].tried, p->hub.now_us);
+					    crash->suspects[i].tried_alone, p->hub.now_us);
 
 		if (!lw_suspect_matters(s))
 			continue;
@@ -65,7 +65,7 @@
 /* lw_proxy_crash_init() - once the gate stands. */
 void lw_proxy_crash_init(lw_proxy_t *p)
 {
-	p->engine.gate.ended = on_server_ended;
-	p->engine.gate.ended_ctx = p;
+	p->engine.gate.on_crash = on_server_ended;
+	p->engine.gate.on_crash_ctx = p;
 	lw_hub_on_tick(&p->hub, on_tick, p);
 }
--- a/src/proxylease.c
+++ b/src/proxylease.c
@@ -125,8 +125,8 @@
 {
 	lw_lease_found(&p->lease);
 	lw_probe_init(&p->probe, &p->hub);
-	p->probe.heard = lw_proxy_heard;
-	p->probe.heard_ctx = p;
+	p->probe.on_notice = lw_proxy_heard;
+	p->probe.on_notice_ctx = p;
 	ev_timer_init(&p->lease_step, on_step, 0, STEP_S);
 	p->lease_step.data = p;
 }
--- a/src/proxynews.c
+++ b/src/proxynews.c
@@ -240,14 +240,14 @@
 {
 	const lw_proxy_t *p = ctx;
 
-	return lw_hotpath_tell(p->engine.hotpath, p->hub.now_us, out, most);
+	return lw_hotpath_tell(p->engine.overload, p->hub.now_us, out, most);
 }
 
 static void mesh_heard(void *ctx, const lw_heard_t *heard)
 {
 	lw_proxy_t *p = ctx;
 
-	lw_hotpath_heard(p->engine.hotpath, heard, p->hub.now_us);
+	lw_hotpath_heard(p->engine.overload, heard, p->hub.now_us);
 }
 
 static void mesh_lost(void *ctx, const char *node, bool used)
--- a/src/proxynotice.c
+++ b/src/proxynotice.c
@@ -21,18 +21,20 @@
 {
 	lw_proxy_t *p = ctx;
 
-	lw_gate_heard(&p->engine.gate, said, sent_us);
+	lw_gate_on_notice(&p->engine.gate, said, sent_us);
 }
 
 static void log_limit(const lw_proxy_t *p)
 {
 	const lw_gate_t *g = &p->engine.gate;
-	const char *by = g->named.heard_us ? "answer" : "peer";
-	uint64_t age_ms = g->named.heard_us ? (p->hub.now_us - g->named.heard_us) / 1000 : 0;
+	const char *by = g->announced_limit.heard_us ? "answer" : "peer";
+	uint64_t age_ms = g->announced_limit.heard_us ?
+				  (p->hub.now_us - g->announced_limit.heard_us) / 1000 :
+				  0;
 
-	if (g->named.on)
+	if (g->announced_limit.on)
 		lw_log(LW_LOG_server_limit, "server=%s limit_per_s=%.3f by=%s age_ms=%llu",
-		       g->server_id, g->named.per_s, by, (unsigned long long)age_ms);
+		       g->server_id, g->announced_limit.per_s, by, (unsigned long long)age_ms);
 	else
 		lw_log(LW_LOG_server_limit, "server=%s limit_per_s=none by=%s age_ms=%llu",
 		       g->server_id, by, (unsigned long long)age_ms);
@@ -41,11 +43,12 @@
 /* a limit may change with each answer: lines and words to others are as many as ticks at most */
 static void tell_limit(lw_proxy_t *p)
 {
-	const lw_notice_limit_t *named = &p->engine.gate.named;
+	const lw_notice_limit_t *announced_limit = &p->engine.gate.announced_limit;
 
-	if (named->on == p->told_limit.on && named->per_s == p->told_limit.per_s)
+	if (announced_limit->on == p->told_limit.on &&
+	    announced_limit->per_s == p->told_limit.per_s)
 		return;
-	p->told_limit = *named;
+	p->told_limit = *announced_limit;
 	log_limit(p);
 	lw_proxy_announce(p);
 }
@@ -67,9 +70,9 @@
  */
 static void ask_if_unheard(lw_proxy_t *p)
 {
-	const lw_notice_limit_t *named = &p->engine.gate.named;
+	const lw_notice_limit_t *announced_limit = &p->engine.gate.announced_limit;
 
-	if (!named->on || p->hub.now_us - named->heard_us < UNHEARD_US ||
+	if (!announced_limit->on || p->hub.now_us - announced_limit->heard_us < UNHEARD_US ||
 	    p->hub.now_us - p->limit_asked_us < UNHEARD_US)
 		return;
 	p->limit_asked_us = p->hub.now_us;
@@ -89,10 +92,10 @@
 /* lw_proxy_notice_init() - once the gate stands. */
 void lw_proxy_notice_init(lw_proxy_t *p)
 {
-	p->engine.gate.noticed = lw_proxy_announce;
-	p->engine.gate.noticed_ctx = p;
+	p->engine.gate.on_notice_change = lw_proxy_announce;
+	p->engine.gate.on_notice_change_ctx = p;
 	lw_probe_init(&p->limit_probe, &p->hub);
-	p->limit_probe.heard = lw_proxy_heard;
-	p->limit_probe.heard_ctx = p;
+	p->limit_probe.on_notice = lw_proxy_heard;
+	p->limit_probe.on_notice_ctx = p;
 	lw_hub_on_tick(&p->hub, on_tick, p);
 }
--- a/src/proxystatus.c
+++ b/src/proxystatus.c
@@ -86,7 +86,7 @@
 		r->max_attempts);
 	for (size_t i = 0; i < r->nsplits; i++)
 		fprintf(f, " %s:%u", r->splits[i].service, r->splits[i].weight);
-	fprintf(f, " calls_below=%u\n", lw_hotpath_depth(e->hotpath, r->name));
+	fprintf(f, " calls_below=%u\n", lw_hotpath_depth(e->overload, r->name));
 }
 
 static void print_suspects(FILE *f, const lw_engine_t *e)
--- a/src/proxystop.c
+++ b/src/proxystop.c
@@ -35,8 +35,8 @@
  */
 static void leave(lw_proxy_t *p)
 {
-	lw_engine_end_all(&p->engine);
-	lw_callers_end(p->callers);
+	lw_engine_finish_all(&p->engine);
+	lw_callers_close_all(p->callers);
 	lw_mesh_end(p->engine.mesh);
 }
 
@@ -49,7 +49,7 @@
 		.grace_us = p->stop_grace_us,
 		.oldest_us = oldest_request_us(p),
 		.refusing_us = p->refusing_us ? p->hub.now_us - p->refusing_us : 0,
-		.at_work = p->engine.gate.ncalls || !p->engine.gate.refusing,
+		.at_work = p->engine.gate.ncalls || !p->engine.gate.exiting,
 	};
 	lw_stopplan_t plan = lw_stopplan(&state);
 
@@ -61,9 +61,9 @@
 	}
 	if (plan.close_idle)
 		lw_callers_close_idle(p->callers);
-	if (plan.refuse && !p->engine.gate.refusing) {
+	if (plan.refuse && !p->engine.gate.exiting) {
 		log_step(p, "refusing", &state);
-		lw_gate_refuse(&p->engine.gate);
+		lw_gate_stop_admitting(&p->engine.gate);
 		p->refusing_us = p->hub.now_us;
 		lw_mesh_announce(p->engine.mesh);
 	}
--- a/src/request.c
+++ b/src/request.c
@@ -41,7 +41,7 @@
 }
 
 /* too long a value is refused: cut short, two of them could become one */
-static lw_status_t copy(char *dst, size_t len, const char *src, const char *what)
+static lw_status_t copy_value(char *dst, size_t len, const char *src, const char *what)
 {
 	if (strlen(src ? src : "") >= len)
 		return lw_error(LW_ERR_PROTO, "%s is over %zu bytes; shorten it", what, len - 1);
@@ -49,8 +49,8 @@
 	return LW_OK;
 }
 
-static lw_status_t number(const lw_http_req_t *req, const char *name, uint64_t max, uint64_t dflt,
-			  uint64_t *out)
+static lw_status_t read_number(const lw_http_req_t *req, const char *name, uint64_t max,
+			       uint64_t dflt, uint64_t *out)
 {
 	const char *v = lw_http_header(req, name);
 	char *end;
@@ -91,15 +91,16 @@
 	lw_status_t st;
 
 	memset(rq, 0, sizeof(*rq));
-	if ((st = copy(rq->route, sizeof(rq->route), route, "route")) ||
-	    (st = copy(rq->idem_key, sizeof(rq->idem_key),
-		       lw_http_header(req, "X-LW-Idempotency-Key"), "X-LW-Idempotency-Key")) ||
-	    (st = copy(rq->user_id, sizeof(rq->user_id), lw_http_header(req, "X-LW-Request-Id"),
-		       "X-LW-Request-Id")) ||
-	    (st = number(req, "X-LW-Deadline-Ms", LW_DEADLINE_MAX_MS, LW_DEFAULT_DEADLINE_MS,
-			 &deadline)) ||
-	    (st = number(req, "X-LW-Retry-Budget", LW_BUDGET_MAX, preset_budget, &budget)) ||
-	    (st = number(req, "X-LW-Parent", UINT64_MAX, 0, &rq->parent)))
+	if ((st = copy_value(rq->route, sizeof(rq->route), route, "route")) ||
+	    (st = copy_value(rq->idem_key, sizeof(rq->idem_key),
+			     lw_http_header(req, "X-LW-Idempotency-Key"),
+			     "X-LW-Idempotency-Key")) ||
+	    (st = copy_value(rq->user_id, sizeof(rq->user_id),
+			     lw_http_header(req, "X-LW-Request-Id"), "X-LW-Request-Id")) ||
+	    (st = read_number(req, "X-LW-Deadline-Ms", LW_DEADLINE_MAX_MS, LW_DEFAULT_DEADLINE_MS,
+			      &deadline)) ||
+	    (st = read_number(req, "X-LW-Retry-Budget", LW_BUDGET_MAX, preset_budget, &budget)) ||
+	    (st = read_number(req, "X-LW-Parent", UINT64_MAX, 0, &rq->parent)))
 		return st;
 	rq->deadline_ms = (uint32_t)deadline;
 	rq->retry_budget = (uint32_t)budget;
@@ -118,10 +119,10 @@
 	lw_status_t st;
 
 	memset(rq, 0, sizeof(*rq));
-	if ((st = copy(rq->route, sizeof(rq->route), f->route, "route")) ||
-	    (st = copy(rq->idem_key, sizeof(rq->idem_key), f->idempotency_key,
-		       "idempotency_key")) ||
-	    (st = copy(rq->user_id, sizeof(rq->user_id), f->trace_id, "trace_id")))
+	if ((st = copy_value(rq->route, sizeof(rq->route), f->route, "route")) ||
+	    (st = copy_value(rq->idem_key, sizeof(rq->idem_key), f->idempotency_key,
+			     "idempotency_key")) ||
+	    (st = copy_value(rq->user_id, sizeof(rq->user_id), f->trace_id, "trace_id")))
 		return st;
 	classify(pc, rq);
 	if ((unsigned)f->class_ < LW_CLASS_COUNT)
--- a/src/retryrule.c
+++ b/src/retryrule.c
@@ -9,7 +9,7 @@
 {
 	if (why == LW_FAIL_TIMEOUT)
 		return LW_VERDICT_TIMEOUT;
-	if (!lw_fail_not_run(why) || a->maybe_ran)
+	if (!lw_fail_not_executed(why) || a->maybe_ran)
 		return LW_VERDICT_FAIL;
 	return LW_VERDICT_REFUSE;
 }
@@ -55,7 +55,7 @@
  */
 lw_verdict_t lw_retry_verdict(const lw_attempts_t *a, lw_fail_t why)
 {
-	bool may_repeat = lw_fail_not_run(why) || a->idempotent;
+	bool may_repeat = lw_fail_not_executed(why) || a->idempotent;
 
 	if (!may_repeat || !a->body_kept || a->left_ms < LEFT_MIN_MS || why == LW_FAIL_EXPIRED ||
 	    why == LW_FAIL_TIMEOUT)
--- a/src/simfleet.c
+++ b/src/simfleet.c
@@ -253,7 +253,7 @@
 			h = h->next ? h->next : s->hosts;
 	}
 	if (!h) {
-		finish(r, q, false, lw_fail_not_run(last), 0);
+		finish(r, q, false, lw_fail_not_executed(last), 0);
 		return;
 	}
 	q->tried.host[q->tried.n++] = h;
--- a/src/simserver.c
+++ b/src/simserver.c
@@ -113,7 +113,7 @@
 {
 	sim_node_t *n = q->at;
 	bool naive = r->sim->policy == LW_SIM_NAIVE;
-	lw_ask_t ask = { .deadline_ms = lw_sim_left_ms(r, q), .queue_ms = queue_ms(r, q) };
+	lw_call_request_t ask = { .deadline_ms = lw_sim_left_ms(r, q), .queue_ms = queue_ms(r, q) };
 	lw_admit_state_t st;
 	lw_fail_t why;
 
--- a/tests/decide_retry.c
+++ b/tests/decide_retry.c
@@ -113,7 +113,8 @@
 					  .service_us = (uint32_t)num(a, 5) * 1000 },
 				.ahead = (uint32_t)num(a, 3),
 				.pace_ms = (uint32_t)num(a, 8) };
-	lw_ask_t ask = { .deadline_ms = (uint32_t)num(a, 6), .queue_ms = (uint32_t)num(a, 7) };
+	lw_call_request_t ask = { .deadline_ms = (uint32_t)num(a, 6),
+				  .queue_ms = (uint32_t)num(a, 7) };
 
 	say(w, "%s expected_wait=%u may_wait=%u retry_after=%u", lw_fail_name(lw_admit(&st, &ask)),
 	    lw_admit_expected_wait_ms(&st), lw_admit_wait_ms(&st, &ask),
