--- a/src/call.h
+++ b/src/call.h
@@ -1,9 +1,8 @@
 /*
- * One call of a backend server as two halves that talk through vtables: the
- * call (a job at the backend server beside this node, or a stream to another
- * node) and its sink (the request that waits for the answer, or the stream
- * it came by). Either side may end it; whoever ends it must not be called
- * again afterwards.
+ * One call to a backend server, split into two halves that communicate through vtables: the call
+ * (a job at the backend server on this host, or a stream to another node) and its sink (the
+ * request that waits for the answer, or the stream on which the request arrived). Either half may
+ * end the call; the half that ended it must not be invoked afterwards.
  */
 #ifndef LW_CALL_H
 #define LW_CALL_H
@@ -16,68 +15,69 @@
 #include "lwstr.h"
 #include "notice.h"
 
-/* Bytes of one body under way before the receiver takes some: one window. */
+/* Flow control window: bytes of one body that may be sent before the receiver grants credit. */
 #define LW_CALL_WINDOW 65536
 
-/* Why a call ended without a complete answer. */
+/* Why a call ended without a complete answer. The order matters, see lw_fail_not_executed(). */
 typedef enum lw_fail {
 	LW_FAIL_NONE = 0,
-	/* no backend server was given the request */
-	LW_FAIL_PATH_BUSY, /* a service its work leads to could not finish it */
-	LW_FAIL_BUSY, /* the queue in front of the backend server is too long */
-	LW_FAIL_LEAVING, /* the node takes no new work */
-	LW_FAIL_EXPIRED, /* its time ran out while it was queued */
+	/* the request was not sent to any backend server */
+	LW_FAIL_PATH_BUSY, /* a service on its call path could not complete it */
+	LW_FAIL_BUSY, /* the admission queue of the backend server is too long */
+	LW_FAIL_LEAVING, /* the node or the backend server accepts no new work */
+	LW_FAIL_EXPIRED, /* its deadline or queue limit passed while it was queued */
 	LW_FAIL_NO_SERVER, /* the backend server accepts no connection */
-	LW_FAIL_UNSENT, /* the connection to the node never carried it */
-	/* a backend server was given the request and said that it did not run it */
+	LW_FAIL_UNSENT, /* the connection to the node failed before the request was sent */
+	/* the request was sent to a backend server, which reported that it did not execute it */
 	LW_FAIL_SHED,
-	LW_FAIL_MISDIRECTED, /* another backend server has taken the address */
-	/* it may have run */
-	LW_FAIL_BROKEN, /* the connection ended or the answer was not valid */
-	LW_FAIL_TIMEOUT, /* no answer in time */
-	/* no backend server was given it: servers ended under it; never told to other nodes */
+	LW_FAIL_MISDIRECTED, /* a different backend server now uses the address */
+	/* the request may have been executed */
+	LW_FAIL_BROKEN, /* the connection closed or the answer was invalid */
+	LW_FAIL_TIMEOUT, /* no answer before the deadline */
+	/* not sent: suspected of crashing servers; never reported to other nodes */
 	LW_FAIL_HELD,
-	/* no backend server was given it: its organisation is at its limit; likewise */
+	/* not sent: its organisation exceeds its rate limit; never reported to other nodes */
 	LW_FAIL_OVER_LIMIT,
 	LW_FAIL_COUNT
 } lw_fail_t;
 
-/* What a node tells of the backend server beside it. */
+/* What a node reports about the backend server on its host. */
 typedef struct lw_load {
 	uint32_t running;
 	uint32_t queued;
-	uint32_t limit; /* 0: it takes nothing, its node is about to exit */
+	uint32_t limit; /* 0: accepts no requests, the node is about to exit */
 	uint32_t service_us;
-	uint32_t level; /* first rank it refuses, see level.h */
-	uint32_t failing; /* per mille of its requests that failed of late */
+	uint32_t level; /* admission threshold: lowest rank that it rejects, see level.h */
+	uint32_t failing; /* recent failure rate of its requests, per mille */
 	bool leaving;
-	bool down; /* the backend server takes no connection */
-	bool call_failed; /* a call made for the request failed: so will its repeat */
-	uint32_t ran_us; /* time the request ran there; 0: it did not, or is not over */
-	uint32_t depth; /* levels of calls below the request */
-	uint32_t retry_used; /* per mille of the repeats allowed that those calls use */
-	lw_hots_t hots; /* services on the path of the request that refuse some work */
-	lw_notice_t notice; /* what the backend server announces; of none: nothing */
+	bool down; /* the backend server accepts no connection */
+	bool call_failed; /* a nested call of the request failed, so a retry would fail too */
+	uint32_t ran_us; /* execution time of the request; 0: not executed or not finished */
+	uint32_t depth; /* levels of nested calls below the request */
+	uint32_t retry_used; /* share of the retry allowance that those calls used, per mille */
+	lw_hots_t hots; /* services on the call path that reject some requests */
+	lw_notice_t notice; /* self-announcement of the backend server; server 0: none */
 } lw_load_t;
 
-/* A request as it is handed to a node or a backend server. */
+/* A request as it is sent to a node or a backend server. */
 typedef struct lw_call_request {
 	lw_str_t head; /* request line and end-to-end header lines, CRLF each */
 	lw_str_t request_id;
 	lw_str_t target; /* id of the backend server */
 	int64_t body_length; /* -1: chunked */
-	uint32_t deadline_ms; /* left now */
-	uint32_t queue_ms; /* longest useful wait before it starts */
-	uint32_t target_left_ms; /* until the user request misses its objective; 0: it did */
-	uint32_t rank; /* of the user request it is part of, see level.h */
-	bool repeat; /* it, or a request it is part of, was sent before */
-	lw_notice_t notice; /* what the sender knows of the target; of none: nothing */
+	uint32_t deadline_ms; /* time left when it is sent */
+	uint32_t queue_ms; /* longest time that the request may wait in a queue */
+	/* until the user request misses its latency objective; 0: missed */
+	uint32_t target_left_ms;
+	uint32_t rank; /* of the user request that it belongs to, see level.h */
+	bool repeat; /* a retry, or part of a request that is a retry */
+	lw_notice_t notice; /* what the sender knows about the target; server 0: nothing */
 } lw_call_request_t;
 
 /* The head of an answer. */
 typedef struct lw_answer {
 	uint32_t status;
-	int64_t body_length; /* -1: not known before the end */
+	int64_t body_length; /* -1: unknown until the end of the body */
 	lw_str_t head; /* status line and end-to-end header lines, CRLF each */
 } lw_answer_t;
 
@@ -85,20 +85,20 @@
 typedef struct lw_call lw_call_t;
 
 typedef struct lw_sink_ops {
-	/* the call took @bytes of the request's body: so many more may be sent */
+	/* the call consumed @bytes of the request's body; as many more may be sent */
 	void (*credit)(lw_sink_t *s, uint32_t bytes);
-	/* the answer's head and the first part of its body; @fin: all of it */
+	/* head of the answer and first part of its body; @fin: the body is complete */
 	void (*answer)(lw_sink_t *s, const lw_answer_t *a, lw_str_t body, bool fin,
 		       const lw_load_t *load);
 	void (*data)(lw_sink_t *s, lw_str_t data, bool fin);
 	void (*fail)(lw_sink_t *s, lw_fail_t why, uint32_t retry_after_ms, const lw_load_t *load);
-	/* nothing is heard from the node that runs the call; it may still answer */
+	/* nothing received from the executing node for a while; it may still answer */
 	void (*silent)(lw_sink_t *s);
 } lw_sink_ops_t;
 
 typedef struct lw_call_ops {
 	void (*body)(lw_call_t *c, lw_str_t data, bool fin);
-	/* the sink took @bytes of the answer's body */
+	/* the sink consumed @bytes of the answer's body */
 	void (*credit)(lw_call_t *c, uint32_t bytes);
 	void (*cancel)(lw_call_t *c);
 } lw_call_ops_t;
--- a/src/gate.c
+++ b/src/gate.c
@@ -1,4 +1,6 @@
-/* Admission to the backend server on this host; see gate.h. */
+/*
+ * Admission of requests to the backend server on this host; see gate.h.
+ */
 #include "gate_int.h"
 
 #include <math.h>
@@ -8,24 +10,24 @@
 #include "log.h"
 #include "stopplan.h"
 
-/* what a body of a request still queued may hold in memory, in bytes */
+/* limit on the memory used by the bodies of queued requests, in bytes */
 #define QUEUE_BYTES_MAX (32u * 1024 * 1024)
-/* waiting requests are looked through for expired ones so often, in seconds */
+/* interval of the check for expired requests in the queue, in seconds */
 #define EXPIRY_INTERVAL_S 0.02
-/* first guess of that time, before any request has run, us */
+/* assumed execution time before any request was executed, us */
 #define SERVICE_INITIAL_US 50000
-/* a request that runs so many times as long as usual may have lost its answer */
+/* a request that executes for this many times the average may have lost its answer */
 #define LOST_FACTOR 8
 #define LOST_MIN_US 100000
-/* the average of failures fades by this in each step: it halves in about 3 s */
+/* factor applied to the average failure rate in each step: it halves in about 3 s */
 #define FAILING_DECAY 0.977
-/* the longest run of late counts half after this, us */
+/* half-life of the longest recent execution time, us */
 #define LONGEST_HALF_LIFE_US 7000000
-/* a server that took no connection is tried again after this, us */
+/* a server that accepted no connection is retried after this, us */
 #define DOWN_RETRY_US 250000
-/* steps without work after which the level's timer stops */
+/* number of idle steps after which the timer of the admission threshold stops */
 #define IDLE_STEPS_MAX 20
-/* a limit below this counts as this one in the level, requests a second */
+/* lowest rate limit used to compute the admission threshold, requests a second */
 #define LEVEL_MIN_PER_S	 0.1
 #define JOB_OF_WAITER(w) ((lw_job_t *)(void *)((char *)(w)-offsetof(lw_job_t, waiter)))
 
@@ -35,7 +37,7 @@
 	return g->running > g->lost_answers ? g->running - g->lost_answers : 0;
 }
 
-/* what is known of the backend server here */
+/* what this node knows about the backend server */
 static void server_load(const lw_gate_t *g, lw_load_t *out)
 {
 	out->running = busy_slots(g);
@@ -55,9 +57,9 @@
 }
 
 /*
- * lw_gate_load() - what others are told of the backend server. One that takes only so
- * many requests a second has no more slots for them than these keep busy: by its own
- * slots it would look idle, and be sent what has to come back.
+ * lw_gate_load() - the load that is reported to other nodes. A backend server with a rate limit
+ * gets no more slots in the report than the limit can keep busy. With its real number of slots it
+ * would look idle and attract requests that it has to reject.
  */
 void lw_gate_load(const lw_gate_t *g, lw_load_t *out)
 {
@@ -68,7 +70,10 @@
 		out->limit = slots;
 }
 
-/* lw_gate_learn_load() - the backend server's own figures; what it runs beside our requests counts too */
+/*
+ * lw_gate_learn_load() - process the load that the backend server reports in its answers. The
+ * report also covers requests that did not pass through this gate.
+ */
 void lw_gate_learn_load(lw_gate_t *g, lw_str_t value)
 {
 	char text[64];
@@ -90,10 +95,10 @@
 }
 
 /*
- * A backend server that loses answers has room although its requests seem to
- * run: each would hold a slot here until its deadline, and with three answers
- * in ten lost nine slots in ten were held so. A request counts as lost when
- * it takes far longer than usual and the server says that it runs fewer.
+ * A backend server that loses answers has free slots although its requests seem to be executing.
+ * Each lost answer would occupy a slot here until the deadline of its request; with three answers
+ * in ten lost, nine slots in ten were blocked that way. A request counts as lost if it takes much
+ * longer than usual and the server reports fewer requests than this gate has sent.
  */
 static void update_lost_answers(lw_gate_t *g)
 {
@@ -111,14 +116,14 @@
 	g->lost_answers = overdue < g->running - known ? overdue : g->running - known;
 }
 
-/* the longest run of late; it fades with time, also while nothing runs */
+/* longest recent execution time; it decays with time, also while nothing executes */
 static double longest_run_us(const lw_gate_t *g)
 {
 	return g->longest_us *
 	       exp2(-(double)(g->hub->now_us - g->longest_at_us) / LONGEST_HALF_LIFE_US);
 }
 
-/* lw_gate_ran() - a run took @took_us. */
+/* lw_gate_record_duration() - record the execution time @took_us of a request. */
 void lw_gate_record_duration(lw_gate_t *g, uint64_t took_us)
 {
 	if ((double)took_us < longest_run_us(g))
@@ -127,7 +132,7 @@
 	g->longest_at_us = g->hub->now_us;
 }
 
-/* whether a request that starts after @wait_us is over before this process exits */
+/* whether a request that starts after @wait_us completes before this process exits */
 static bool finishes_before_exit(const lw_gate_t *g, uint64_t wait_us, uint64_t deadline_us)
 {
 	const lw_hub_t *hub = g->hub;
@@ -137,7 +142,7 @@
 	       lw_stopplan_takes(left_us, wait_us, (uint64_t)longest_run_us(g), deadline_us);
 }
 
-/* what waits, once its turn has come: started, or handed back as it would meet the exit */
+/* starts the first queued request, or rejects it if it would not complete before the exit */
 static void start_first_queued(lw_gate_t *g)
 {
 	lw_job_t *j = JOB_OF_WAITER(g->queue.first);
@@ -153,7 +158,7 @@
 	lw_job_start(j);
 }
 
-/* lw_gate_dispatch() - start what may start now */
+/* lw_gate_dispatch() - start the queued requests for which there is room. */
 void lw_gate_dispatch(lw_gate_t *g)
 {
 	while (g->queue.first && busy_slots(g) < g->limit &&
@@ -207,7 +212,7 @@
 	};
 }
 
-/* what servers ended under is given to this one alone, or not at all */
+/* a request that crashed servers is admitted only as a trial, and only one copy at a time */
 static bool quarantine_admits(const lw_gate_t *g, lw_quarantine_verdict_t verdict,
 			      const lw_fingerprint_t *print)
 {
@@ -220,9 +225,9 @@
 }
 
 /*
- * lw_gate_submit() - hand a request to the backend server or to the queue in
- * front of it. Returns the call, whose outcome @sink will hear; or NULL with
- * the reason in @why and when to come back, and @sink is not called.
+ * lw_gate_submit() - send a request to the backend server or add it to the queue.
+ * Returns the call, whose outcome is reported to @sink. On rejection returns NULL, sets the reason
+ * in @why and the delay before a retry in @retry_after_ms, and does not invoke @sink.
  */
 lw_call_t *lw_gate_submit(lw_gate_t *g, lw_sink_t *sink, const lw_call_request_t *req,
 			  lw_str_t body, bool fin, lw_fail_t *why, uint32_t *retry_after_ms)
@@ -274,14 +279,14 @@
 	return &j->call;
 }
 
-/* lw_gate_oldest_us() - age of the oldest call here, at least 1; 0: there is none. */
+/* lw_gate_oldest_us() - age of the oldest call, at least 1; 0: there are no calls. */
 uint64_t lw_gate_oldest_us(const lw_gate_t *g)
 {
-	/* the table keeps the order of insertion */
+	/* the hash table keeps the order of insertion */
 	return g->by_id ? g->hub->now_us - g->by_id->came_us + 1 : 0;
 }
 
-/* lw_gate_hand_back() - what waits goes back unrun. */
+/* lw_gate_reject_queued() - reject all queued requests with @why. */
 void lw_gate_reject_queued(lw_gate_t *g, lw_fail_t why)
 {
 	lw_waiter_t *w;
@@ -291,8 +296,9 @@
 }
 
 /*
- * lw_gate_server_down() - the backend server took no connection. What waits
- * would meet the same one after the other; it goes elsewhere while there is time.
+ * lw_gate_server_down() - the backend server accepted no connection. The queued requests would
+ * fail the same way one after the other, so they are rejected at once, while there is still time
+ * to send them to another server.
  */
 void lw_gate_server_down(lw_gate_t *g)
 {
@@ -308,8 +314,8 @@
 }
 
 /*
- * lw_gate_refuse() - this node is about to exit: what waits is handed back,
- * nothing new is taken, what runs goes on.
+ * lw_gate_stop_admitting() - this node is about to exit: reject all queued and new requests, let
+ * executing requests complete.
  */
 void lw_gate_stop_admitting(lw_gate_t *g)
 {
@@ -317,7 +323,7 @@
 	lw_gate_reject_queued(g, LW_FAIL_LEAVING);
 }
 
-/* what was learned of the process before says nothing of the new one */
+/* nothing known about the previous process applies to the new one */
 static void forget_server(lw_gate_t *g, const lw_place_host_t *server)
 {
 	g->replaced_id[0] = '\0';
@@ -325,14 +331,17 @@
 	g->failing = 0;
 	g->reported_busy = 0;
 	g->started_since_report = 0;
-	/* what others told before the first list is of this process, unless they named another */
+	/*
+	 * a notice received from other nodes before the first server list is about this process,
+	 * unless it names a different one
+	 */
 	if (g->server_id[0] || !lw_notice_is_of(&g->notice, server->id, server->born_ms))
 		lw_gate_reset_notice(g);
 }
 
 /*
- * lw_gate_set_server() - the backend server on this host as it registered
- * itself. When it is leaving, what still waits is handed back at once.
+ * lw_gate_set_server() - set the registration of the backend server on this host. If the server is
+ * leaving, all queued requests are rejected at once.
  */
 void lw_gate_set_server(lw_gate_t *g, const lw_place_host_t *server)
 {
@@ -348,12 +357,15 @@
 	g->server_born_ms = server->born_ms;
 	g->notice.server = lw_notice_server(server->id);
 	g->notice.born_ms = server->born_ms;
-	/* told to nodes that start anew, too, whatever the store still has then */
+	/* also reported to nodes that restart, whatever the store contains by then */
 	g->notice.leaving |= server->draining;
 	lw_gate_set_leaving(g, server->draining);
 }
 
-/* lw_gate_set_leaving() - whether the list says that the backend server takes no new work. */
+/*
+ * lw_gate_set_leaving() - set whether the server list says that the backend server accepts no new
+ * work.
+ */
 void lw_gate_set_leaving(lw_gate_t *g, bool leaving)
 {
 	g->leaving = leaving;
@@ -370,8 +382,8 @@
 }
 
 /*
- * lw_gate_parent() - whether the request with @id runs here, and what a call
- * made for it takes over.
+ * lw_gate_parent() - look up the request with @id and return in @out what a nested call inherits
+ * from it. Returns false if no such request is queued or executing here.
  */
 bool lw_gate_parent(const lw_gate_t *g, lw_str_t id, lw_gate_parent_t *out)
 {
@@ -383,7 +395,10 @@
 	return true;
 }
 
-/* lw_gate_note_call() - what the answer to a call of request @parent_id told. */
+/*
+ * lw_gate_note_call() - add the load reported with the answer to a nested call to its parent
+ * request @parent_id.
+ */
 void lw_gate_note_call(lw_gate_t *g, lw_str_t parent_id, const lw_load_t *load)
 {
 	lw_job_t *j = job_by_id(g, parent_id);
@@ -398,7 +413,7 @@
 		lw_hots_add(&j->hots, &load->hots.hot[i]);
 }
 
-/* lw_gate_note_failure() - a call made for request @parent_id failed. */
+/* lw_gate_note_failure() - record that a nested call of request @parent_id failed. */
 void lw_gate_note_failure(lw_gate_t *g, lw_str_t parent_id)
 {
 	lw_job_t *j = job_by_id(g, parent_id);
@@ -407,7 +422,7 @@
 		j->call_failed = true;
 }
 
-/* a limit of requests a second is one slot that each of them holds for its part of a second */
+/* a rate limit is equivalent to a single slot that each request occupies for 1/rate seconds */
 static lw_level_input_t level_input(const lw_gate_t *g)
 {
 	uint32_t queued = (uint32_t)g->queue.len;
@@ -435,7 +450,7 @@
 		ev_timer_stop(loop, &g->step);
 }
 
-/* lw_gate_init() - a gate in front of the backend server of the settings. */
+/* lw_gate_init() - initialise the gate of the backend server named in the settings. */
 void lw_gate_init(lw_gate_t *g, lw_hub_t *hub, lw_quarantine_t *quarantine)
 {
 	memset(g, 0, sizeof(*g));
--- a/src/gate.h
+++ b/src/gate.h
@@ -1,8 +1,8 @@
 /*
- * The gate in front of the backend server on this host: the only way to it,
- * so it knows exactly what runs there. It starts no more requests than the
- * backend server can run at once, lets the rest wait in order, and hands back
- * what cannot start in time, which is then certain not to have run.
+ * Admission gate of the backend server on this host. All requests to the backend server pass
+ * through it, so it knows exactly how many are executing. It starts no more requests than the
+ * backend server can execute at once, queues the others by priority, and rejects those that cannot
+ * start in time; a rejected request is certain not to have been executed.
  */
 #ifndef LW_GATE_H
 #define LW_GATE_H
@@ -26,78 +26,81 @@
 	uint64_t started;
 	uint64_t answered;
 	uint64_t refused[LW_FAIL_COUNT];
-	uint64_t connections; /* opened to the backend server */
+	uint64_t connections; /* connections opened to the backend server */
 	uint64_t invalid_answers;
-	uint64_t invalid_limits; /* answers that name a limit which is no number */
-	uint64_t paced; /* handed back, as the backend server's limit had no room in time */
+	uint64_t invalid_limits; /* answers that announce a rate limit which is not a number */
+	uint64_t paced; /* rejected, because the backend server's rate limit left no room in time */
 	lw_histogram_t wait;
 } lw_gate_stats_t;
 
-/* Requests in hand at the end of the backend server that are told apart. */
+/* Maximum number of in-flight requests that are recorded as suspects of one crash. */
 #define LW_CRASH_SUSPECTS_MAX 128
 
 typedef struct lw_crash_suspect {
 	lw_fingerprint_t print;
-	bool tried_alone; /* alone */
+	bool tried_alone; /* it was being executed alone, as a trial */
 } lw_crash_suspect_t;
 
-/* A look whether the backend server has ended; see gatecrash.c. */
+/* State of a crash check of the backend server; see gatecrash.c. */
 typedef struct lw_crash {
-	ev_timer due; /* runs while the look is under way */
-	ev_io io; /* of the connection that shows it */
-	uint64_t since_us; /* when the first connection broke */
-	uint32_t in_flight; /* requests whose connections broke */
-	uint32_t nsuspects; /* of these, known by their digests */
+	ev_timer due; /* next step of the check; active while a check is in progress */
+	ev_io io; /* of the test connection */
+	uint64_t since_us; /* when the first connection closed unexpectedly */
+	uint32_t in_flight; /* requests whose connections closed */
+	uint32_t nsuspects; /* those whose fingerprints are known */
 	lw_crash_suspect_t suspects[LW_CRASH_SUSPECTS_MAX];
 } lw_crash_t;
 
 typedef struct lw_gate {
 	lw_hub_t *hub;
-	uint32_t slots; /* of the backend server; 0: not known yet */
-	uint32_t limit; /* most requests at the backend server at once */
-	uint32_t running; /* requests given to it without an answer yet */
-	uint32_t lost_answers; /* of these, whose answers seem to be lost */
-	uint32_t reported_busy; /* requests it said it runs or queues */
-	uint32_t started_since_report; /* requests given to it since */
+	uint32_t slots; /* concurrent requests that the backend server can execute; 0: unknown */
+	uint32_t limit; /* maximum number of requests sent to the backend server at once */
+	uint32_t running; /* requests sent to it that are not answered yet */
+	uint32_t lost_answers; /* those of them whose answers are presumed lost */
+	uint32_t reported_busy; /* requests that it last reported as executing or queued */
+	uint32_t started_since_report; /* requests sent to it since that report */
 	bool reports_load;
-	double failing; /* moving average: 0 none of its requests fails, 1 all do */
-	double service_us; /* moving average of the time a request runs */
-	double longest_us; /* longest run of late */
-	uint64_t longest_at_us; /* when it ended; it fades from then on */
-	bool leaving; /* the backend server takes no new work */
-	uint64_t down_until_us; /* it took no connection: none is tried until then */
+	double failing; /* moving average of its failure rate, 0 to 1 */
+	double service_us; /* moving average of the execution time */
+	double longest_us; /* longest recent execution time */
+	uint64_t longest_at_us; /* when that execution ended; the value decays from then on */
+	bool leaving; /* the server list says that the backend server accepts no new work */
+	uint64_t down_until_us; /* it accepted no connection; no attempt is made until then */
 	bool exiting; /* this node is about to exit */
-	uint64_t server_born_ms; /* start of its process; 0: not told */
-	char server_id[LW_NAME_MAX]; /* of the backend server that is on this host now */
-	char replaced_id[LW_NAME_MAX]; /* the backend server said that it is not this one */
-	lw_notice_t notice; /* of the process of server_id */
-	lw_notice_limit_t announced_limit; /* the limit in it */
-	lw_pace_t ratelimit; /* keeps to that */
-	void (*on_notice_change)(void *ctx); /* the notice has changed */
+	uint64_t server_born_ms; /* start time of its process; 0: unknown */
+	char server_id[LW_NAME_MAX]; /* id of the current backend server on this host */
+	char replaced_id[LW_NAME_MAX]; /* id that the backend server rejected as not its own */
+	lw_notice_t notice; /* self-announcement of the process of server_id */
+	lw_notice_limit_t announced_limit; /* rate limit from that self-announcement */
+	lw_pace_t ratelimit; /* enforces that rate limit */
+	void (*on_notice_change)(void *ctx); /* called when the notice changed */
 	void *on_notice_change_ctx;
 	lw_waitq_t queue;
 	size_t queued_bytes;
 	lw_bconn_t *idle;
 	uint32_t nidle;
-	uint32_t ncalls; /* running or queued */
-	ev_timer expiry; /* runs while requests wait */
-	ev_timer step; /* of the level; runs while there is work */
+	uint32_t ncalls; /* executing or queued */
+	ev_timer expiry; /* periodic check for expired requests; active while any are queued */
+	ev_timer step; /* periodic update of the admission threshold; active while there is work */
 	uint32_t idle_steps;
 	lw_level_t level;
-	struct lw_job *by_id; /* calls by request id */
+	struct lw_job *by_id; /* jobs by request id */
 	lw_crash_t crash;
 	lw_quarantine_t *quarantine;
-	/* the backend server ended with crash.suspects in hand; before their outcomes are told */
+	/*
+	 * called when the backend server crashed while executing crash.suspects, before their sinks
+	 * are notified
+	 */
 	void (*on_crash)(void *ctx, const lw_crash_t *crash);
 	void *on_crash_ctx;
 	lw_gate_stats_t stats;
 } lw_gate_t;
 
-/* What a call takes over from the request it is made for. */
+/* What a nested call inherits from the request that makes it. */
 typedef struct lw_gate_parent {
 	uint32_t rank;
-	bool repeat; /* it was sent before */
-	uint64_t target_us; /* when the user request misses its objective */
+	bool repeat; /* the parent request is a retry */
+	uint64_t target_us; /* when the user request misses its latency objective */
 } lw_gate_parent_t;
 
 void lw_gate_init(lw_gate_t *g, lw_hub_t *hub, lw_quarantine_t *quarantine);
--- a/src/gate_int.h
+++ b/src/gate_int.h
@@ -1,4 +1,6 @@
-/* Shared by the files of the gate module only; others use gate.h. */
+/*
+ * Internal to the gate module; other modules use gate.h.
+ */
 #ifndef LW_GATE_INT_H
 #define LW_GATE_INT_H
 
@@ -8,7 +10,7 @@
 #include "waitq.h"
 #include "gate.h"
 
-/* an answer up to this size is passed on in one piece */
+/* an answer up to this size is forwarded in one piece */
 #define ANSWER_WHOLE_BYTES 32768
 
 typedef struct lw_job {
@@ -17,34 +19,34 @@
 	lw_gate_t *gate;
 	lw_bconn_t *conn; /* NULL while queued */
 	lw_bytebuf_t head;
-	lw_bytebuf_t body; /* of the request, while queued */
+	lw_bytebuf_t body; /* request body, while queued */
 	lw_bytebuf_t answer; /* collected up to ANSWER_WHOLE_BYTES */
 	lw_answer_t answer_head;
 	lw_bytebuf_t answer_head_text;
-	char *request_id; /* of any length: ids of nested calls grow with their depth */
+	char *request_id; /* of any length: the ids of nested calls grow with their depth */
 	char target[LW_NAME_MAX];
 	int64_t body_length;
 	uint64_t deadline_us;
-	uint64_t target_us; /* when the user request misses its objective */
+	uint64_t target_us; /* when the user request misses its latency objective */
 	uint64_t came_us;
 	uint64_t started_us; /* 0 while queued */
-	size_t unacked; /* body bytes queued to the connection, not yet credited */
-	size_t head_left; /* bytes of the head not yet written */
-	int64_t window; /* answer bytes the sink will still take */
+	size_t unacked; /* body bytes queued on the connection but not yet credited */
+	size_t head_left; /* bytes of the head not written yet */
+	int64_t window; /* answer bytes that the sink still accepts */
 	ev_timer timer;
-	bool fin; /* the request's body is complete */
-	bool head_sent; /* the sink has the head of the answer */
-	bool not_executed; /* the backend server says that it did not run it */
+	bool fin; /* the request body is complete */
+	bool head_sent; /* the head of the answer was forwarded to the sink */
+	bool not_executed; /* the backend server reported that it did not execute the request */
 	bool dead;
-	bool broken; /* its connection ended; told once it is known whether the server did */
-	bool tried_alone; /* alone, as servers ended under it */
+	bool broken; /* its connection closed; the sink is notified after the crash check */
+	bool tried_alone; /* executed alone, as servers crashed while executing it */
 	lw_fingerprinter_t print;
 	uint32_t rank;
 	bool repeat;
-	bool call_failed; /* a call made for it failed */
-	uint32_t depth; /* levels of calls below it, as far as told */
-	uint32_t retry_used; /* per mille of the repeats allowed that those calls use */
-	lw_hots_t hots; /* told by the answers to its calls */
+	bool call_failed; /* a nested call failed */
+	uint32_t depth; /* levels of nested calls below it that were reported */
+	uint32_t retry_used; /* share of the retry allowance that those calls used, per mille */
+	lw_hots_t hots; /* reported by the answers to its nested calls */
 	UT_hash_handle hh;
 } lw_job_t;
 
--- a/src/gateconn.c
+++ b/src/gateconn.c
@@ -1,17 +1,19 @@
-/* Idle connections to the backend server on this host. */
+/*
+ * Idle connections to the backend server on this host.
+ */
 #include "gate_int.h"
 
 #include "linux/sock.h"
 
-/* an idle connection is not used in the last part of the announced limit, us */
+/* an idle connection is not used in the last part of its announced idle time, us */
 #define IDLE_MARGIN_US 1500000
-/* an idle connection without an announced limit is used so long, us */
+/* maximum idle time if the server announces none, us */
 #define IDLE_DEFAULT_US 4000000
 
-/* one that was used within this time is not looked at again before the next request, us */
+/* a connection used within this time is not checked again before the next request, us */
 #define RECENTLY_USED_US 10000
 
-/* an idle connection ended: drop it from the list */
+/* an idle connection closed: remove it from the list */
 static void on_idle_end(void *ctx)
 {
 	lw_gate_t *g = ctx;
@@ -27,7 +29,7 @@
 	}
 }
 
-/* lw_gate_keep_connection() - keep @c for the next request. */
+/* lw_gate_keep_connection() - add @c to the idle connections for reuse. */
 void lw_gate_keep_connection(lw_gate_t *g, lw_bconn_t *c)
 {
 	lw_bconn_idle(c);
@@ -48,8 +50,9 @@
 }
 
 /*
- * lw_gate_close_old_idle() - A server closes an idle connection without a word at its limit; a request
- * sent at that moment is lost, and one that may not be repeated fails.
+ * lw_gate_close_expired_idle() - close connections that are near their idle limit. At the limit
+ * the server closes a connection without notice; a request sent at that moment is lost, and fails
+ * if it is not idempotent.
  */
 void lw_gate_close_expired_idle(void *ctx)
 {
@@ -62,17 +65,20 @@
 }
 
 /*
- * Whether the server's end of an idle connection lies unread in the kernel. The
- * loop acts on requests and ends that came together in no certain order, as when
- * this host stood still; a request given to such a connection may have run for
- * all that can be said, and fails though no server had it.
+ * Whether the server has closed an idle connection and the FIN is still unread in the kernel. If
+ * requests and FINs arrive together, for example after this host was suspended, the event loop
+ * handles them in any order. A request sent on such a connection would have to be treated as
+ * possibly executed, and fails although no server received it.
  */
 static bool closed_by_server(const lw_gate_t *g, const lw_bconn_t *c)
 {
 	return g->hub->now_us - c->idle_since_us > RECENTLY_USED_US && lw_sock_stale(c->fd);
 }
 
-/* lw_gate_take_connection() - an idle connection or a new one; NULL if none can be begun. */
+/*
+ * lw_gate_take_connection() - take an idle connection or open a new one. Returns NULL if no
+ * connection can be opened.
+ */
 lw_bconn_t *lw_gate_take_connection(lw_gate_t *g)
 {
 	lw_bconn_t *c;
--- a/src/gatecrash.c
+++ b/src/gatecrash.c
@@ -1,8 +1,7 @@
 /*
- * Whether the backend server on this host has ended. A connection that breaks says
- * little: servers break off single answers, too. If no other connection to the
- * server is left and it takes no new one, its process is gone, and each request
- * that it had in hand may be the cause.
+ * Detects crashes of the backend server on this host. A single connection that breaks is no proof,
+ * as servers also abort single answers. If no other connection to the server is open and it
+ * refuses new ones, its process is gone, and each request that it was executing is a suspect.
  */
 #include "gate_int.h"
 
@@ -12,11 +11,14 @@
 #include "linux/sock.h"
 #include "log.h"
 
-/* connections of a process that ends break within this time, in seconds */
+/* all connections of a crashed process close within this time, in seconds */
 #define CRASH_CHECK_DELAY_S 0.003
-/* a connection that is neither taken nor refused for so long says nothing, in seconds */
+/*
+ * if the test connection is neither accepted nor refused within this time, the check has no
+ * result, in seconds
+ */
 #define CONNECT_WAIT_S 0.1
-/* connections that broke longer ago have nothing to do with this end, us */
+/* connections that closed earlier than this are unrelated to the crash, us */
 #define SAME_CRASH_US 100000
 
 static void stop_check(lw_crash_t *c, struct ev_loop *loop)
@@ -28,7 +30,7 @@
 	lw_sock_abort(c->io.fd);
 }
 
-/* the calls whose outcome waited for the look */
+/* reports the outcome of the jobs that waited for the check */
 static void fail_broken_jobs(lw_gate_t *g)
 {
 	lw_job_t *j, *next;
@@ -54,7 +56,7 @@
 	fail_broken_jobs(g);
 }
 
-/* whether a connection that still stands shows that the server lives */
+/* whether an open connection shows that the server is alive */
 static bool connection_alive(const lw_gate_t *g)
 {
 	for (const lw_job_t *j = g->by_id; j; j = j->hh.next)
@@ -96,7 +98,10 @@
 	ev_timer_start(loop, &c->due);
 }
 
-/* lw_gate_look() - the connection of @j broke with the request sent: has the server ended? */
+/*
+ * lw_gate_check_crash() - the connection of @j closed after the request was sent: check whether
+ * the server crashed.
+ */
 void lw_gate_check_crash(lw_job_t *j)
 {
 	lw_gate_t *g = j->gate;
@@ -119,14 +124,16 @@
 	ev_timer_start(g->hub->loop, &c->due);
 }
 
-/* lw_gate_look_down() - the server refuses connections: what broke just now broke at its end. */
+/*
+ * lw_gate_confirm_crash() - the server refuses connections: if a check is in progress, it crashed.
+ */
 void lw_gate_confirm_crash(lw_gate_t *g)
 {
 	if (ev_is_active(&g->crash.due))
 		finish_check(g, true);
 }
 
-/* lw_gate_look_init() - nothing is known to be broken. */
+/* lw_gate_crash_init() - initialise the crash check. */
 void lw_gate_crash_init(lw_gate_t *g)
 {
 	ev_init(&g->crash.io, on_connected);
--- a/src/gatejob.c
+++ b/src/gatejob.c
@@ -1,4 +1,6 @@
-/* One request at the backend server on this host, from the queue to its answer. */
+/*
+ * One request to the backend server on this host, from the queue to its answer.
+ */
 #include "gate_int.h"
 
 #include <stdio.h>
@@ -9,14 +11,14 @@
 #include "log.h"
 #include "xalloc.h"
 
-/* the backend server is given so much more time to answer at its deadline, ms */
+/* extra time for the answer after the deadline, ms */
 #define DEADLINE_SLACK_MS 150
-/* weight of one more request in the average time a request runs */
+/* weight of a new sample in the average execution time */
 #define SERVICE_EWMA 0.05
-/* weight of one more outcome in the average of failures */
+/* weight of a new sample in the average failure rate */
 #define FAILING_EWMA 0.03
 
-/* the same, and what the job's own calls were told */
+/* load of the gate, plus what the nested calls of the job reported */
 static void job_load(const lw_job_t *j, lw_load_t *out)
 {
 	lw_gate_load(j->gate, out);
@@ -54,15 +56,15 @@
 }
 
 /*
- * One node sees few of a server's requests; the node beside it sees all. What
- * it tells lets every node turn away from a faulty server at the first answer.
+ * A remote node sees only a few of a server's requests; the node on its host sees all. Reporting
+ * the failure rate with each answer lets other nodes avoid a faulty server after its first answer.
  */
 static void record_outcome(lw_gate_t *g, bool failed)
 {
 	g->failing += FAILING_EWMA * ((failed ? 1.0 : 0.0) - g->failing);
 }
 
-/* lw_job_fail() - end the call with @why; what waits behind it may start. */
+/* lw_job_fail() - end the call with @why, then start queued requests if there is room. */
 void lw_job_fail(lw_job_t *j, lw_fail_t why)
 {
 	lw_gate_t *g = j->gate;
@@ -138,7 +140,9 @@
 		j->call.sink->ops->credit(j->call.sink, (uint32_t)credit);
 }
 
-/* what the backend server announces with the answer; one that is not the target says nothing of it */
+/*
+ * processes the self-announcement in the answer; ignored if the answering server is not the target
+ */
 static void apply_notice(const lw_job_t *j, const lw_httphead_t *h)
 {
 	lw_notice_said_t said = lw_httphead_notice(h);
@@ -148,8 +152,8 @@
 }
 
 /*
- * A faulty server may send a second answer late, at the place of the next
- * one. The caller would get another request's data; only the id tells.
+ * A faulty server may send a second answer late, in place of the answer to the next request. The
+ * caller would then receive another request's data; only the request id reveals the mismatch.
  */
 static bool on_head(void *user, const lw_httphead_t *h)
 {
@@ -191,7 +195,10 @@
 	lw_bconn_t *c = j->conn;
 	uint64_t took = g->hub->now_us - j->started_us;
 
-	/* a request that is not read to its end leaves bytes the server may misread */
+	/*
+	 * if the request was not read completely, the server may parse its remaining bytes as a new
+	 * request
+	 */
 	if (!j->fin || j->unacked)
 		reusable = false;
 	j->conn = NULL;
@@ -206,16 +213,17 @@
 		return;
 	}
 	/*
-	 * A server that fails at once is not a fast one: counted so, two of 17 that
-	 * failed while they said they were healthy drew a third of all calls of a
-	 * service, and 12,700 requests were lost in five seconds.
+	 * Failures are left out of the average execution time, or a server that fails immediately
+	 * would look fast: two of 17 servers that failed while reporting themselves healthy
+	 * attracted a third of all calls of a service, and 12,700 requests were lost in five
+	 * seconds.
 	 */
 	lw_gate_record_duration(g, took);
 	if (j->answer_head.status < 500)
 		g->service_us += SERVICE_EWMA * ((double)took - g->service_us);
 	g->stats.answered++;
 	record_outcome(g, j->answer_head.status >= 500 && !j->call_failed);
-	/* told after this request has left, so that its place shows as free */
+	/* not counted while the answer is forwarded, so that its slot is reported as free */
 	g->running--;
 	forward_answer(j, true);
 	g->running++;
@@ -248,7 +256,7 @@
 	.broken = on_broken,
 };
 
-/* body bytes to the connection, framed as the head said */
+/* queues body bytes on the connection, framed as announced in the head */
 static void send_body(lw_job_t *j, lw_str_t data, bool fin)
 {
 	char line[32];
@@ -289,7 +297,7 @@
 	lw_bconn_queue(j->conn, (lw_str_t){ lw_bytebuf_head(h), j->head_left });
 }
 
-/* lw_job_start() - give the request to the backend server now. */
+/* lw_job_start() - send the request to the backend server. */
 void lw_job_start(lw_job_t *j)
 {
 	lw_gate_t *g = j->gate;
@@ -350,8 +358,8 @@
 }
 
 /*
- * The caller left: closing the connection makes the backend server drop the
- * request, which otherwise runs on for nobody.
+ * The caller disconnected: closing the connection makes the backend server drop the request, which
+ * it would otherwise execute in vain.
  */
 static void job_cancel(lw_call_t *call)
 {
@@ -374,7 +382,7 @@
 	.cancel = job_cancel,
 };
 
-/* lw_job_new() - a call that neither runs nor waits yet. */
+/* lw_job_new() - create a job that is neither queued nor started. */
 lw_job_t *lw_job_new(lw_gate_t *g, lw_sink_t *sink, const lw_call_request_t *req)
 {
 	lw_job_t *j = xcalloc(1, sizeof(*j));
--- a/src/gatenotice.c
+++ b/src/gatenotice.c
@@ -1,11 +1,13 @@
-/* What the backend server on this host announces in its answers, and what follows here. */
+/*
+ * Self-announcements (leaving, rate limit) of the backend server on this host.
+ */
 #include "gate_int.h"
 
 #include <string.h>
 
 #include "log.h"
 
-/* the limit that was heard of is kept from now on */
+/* enforces the announced rate limit from now on */
 static void set_pace(lw_gate_t *g, uint64_t server)
 {
 	lw_pace_set(&g->ratelimit, g->announced_limit.on, g->announced_limit.per_s, g->hub->now_us);
@@ -14,7 +16,10 @@
 	g->notice.limit_per_s = g->announced_limit.per_s;
 }
 
-/* lw_gate_take_word() - what the sender of a request knows of the backend server; counts before that was heard here. */
+/*
+ * lw_gate_accept_reported_limit() - apply the rate limit that the sender of a request knows for
+ * the backend server. Ignored once the backend server itself has announced a limit to this node.
+ */
 void lw_gate_accept_reported_limit(lw_gate_t *g, const lw_notice_t *told)
 {
 	if (!told->limited || g->announced_limit.heard_us ||
@@ -24,7 +29,7 @@
 		set_pace(g, told->server);
 }
 
-/* lw_gate_forget_notice() - the backend server has another process now. */
+/* lw_gate_reset_notice() - discard the announcements of the previous process. */
 void lw_gate_reset_notice(lw_gate_t *g)
 {
 	memset(&g->notice, 0, sizeof(g->notice));
@@ -42,9 +47,8 @@
 }
 
 /*
- * lw_gate_heard() - the process of the backend server says this of itself in the
- * answer to a request sent at @sent_us. That it leaves holds for good: an answer
- * without it is an older one.
+ * lw_gate_on_notice() - process the self-announcement @said in the answer to a request sent at
+ * @sent_us. Leaving is permanent: an answer without it was sent earlier.
  */
 void lw_gate_on_notice(lw_gate_t *g, const lw_notice_said_t *said, uint64_t sent_us)
 {
@@ -55,7 +59,10 @@
 		on_leaving(g);
 }
 
-/* lw_gate_leaving() - whether the backend server takes no new work, as the list or its answers say. */
+/*
+ * lw_gate_leaving() - whether the backend server accepts no new work, according to the server list
+ * or its answers.
+ */
 bool lw_gate_leaving(const lw_gate_t *g)
 {
 	return g->leaving || g->notice.leaving;
