--- a/src/exchadmit.c
+++ b/src/exchadmit.c
@@ -1,6 +1,6 @@
 /*
- * Whether a request of a caller may begin: who asks, on which route and terms, and
- * whether what it leads to, and its organisation's limit, have room for it.
+ * Admission of a caller's request: identifies the caller, determines the route and its terms, and
+ * checks the services on the call path and the organisation's rate limit for room.
  */
 #include "exchange_int.h"
 
@@ -13,23 +13,23 @@
 #include "log.h"
 #include "xalloc.h"
 
-/* a request without a deadline of its own and no route timeout, ms */
+/* deadline of a request if neither the caller nor the route sets one, ms */
 #define DEADLINE_DEFAULT_MS 30000
-/* the server's own answer at the deadline is waited for a little, ms */
+/* extra time for the server's answer at the deadline, ms */
 #define TIMEOUT_MARGIN_MS 15
 /*
- * A node whose news from the store is older than this cannot tell a wrong key
- * from a new one. A caller does not repeat a request that was answered 401, so it
- * is told to come back instead, ms.
+ * A node whose last store update is older than this cannot distinguish an invalid API key from a
+ * new one. As callers do not retry a request after a 401, such a node answers 503 with a
+ * retry-after delay instead, ms.
  */
 #define KEYS_STALE_MS 2500
 
-/* Who sent a request. */
+/* Result of identifying the sender of a request. */
 typedef enum lw_identity {
-	LW_IDENTITY_KNOWN, /* an organisation, or none where none is asked for */
-	LW_IDENTITY_UNKNOWN, /* no key, or one that nobody holds */
-	LW_IDENTITY_UNSURE, /* likewise, but this node's keys may be old */
-	LW_IDENTITY_AMBIGUOUS, /* two keys */
+	LW_IDENTITY_KNOWN, /* an organisation, or none where none is required */
+	LW_IDENTITY_UNKNOWN, /* no API key, or an unknown one */
+	LW_IDENTITY_UNSURE, /* no API key or an unknown one, but this node's keys may be stale */
+	LW_IDENTITY_AMBIGUOUS, /* two API keys */
 } lw_identity_t;
 
 static uint32_t header_ms(const lw_httphead_t *h)
@@ -72,7 +72,10 @@
 	ev_timer_start(x->engine->hub->loop, &x->timer);
 }
 
-/* what is sent on: a key stays here, and which organisation holds it is said by this node alone */
+/*
+ * composes the head to forward; API keys are removed, and only this node states which organisation
+ * holds the key
+ */
 static void compose_head(lw_exchange_t *x, const lw_httphead_t *h)
 {
 	const lw_hub_t *hub = x->engine->hub;
@@ -90,11 +93,11 @@
 }
 
 /*
- * A call made by the backend server on this host is part of a request that
- * runs there. Callers and the backend server share the host's address, so only
- * the id tells: backend servers build the id of a call from that of the
- * request it is for, a dot and more. A call whose request is not known, as
- * this process started after it, ranks by its route.
+ * Detects nested calls: calls that the backend server on this host makes for a request that it
+ * executes. Callers and the backend server share the host's address, so only the request id
+ * distinguishes them: backend servers build the id of a nested call from the parent's id, a dot
+ * and a suffix. If the parent is unknown, because this process started after it, the call is
+ * ranked by its route.
  */
 static void find_parent(lw_exchange_t *x, lw_gate_parent_t *parent)
 {
@@ -117,7 +120,7 @@
 									  LW_IDENTITY_UNKNOWN;
 }
 
-/* who sent the request; @org: NULL for calls of running requests and open routes */
+/* identifies the sender; @org: NULL for nested calls of known requests and for open routes */
 static lw_identity_t identify(const lw_exchange_t *x, const lw_httphead_t *h,
 			      const lw_fleet_route_t *r, const lw_organisation_t **org)
 {
@@ -140,7 +143,7 @@
 	}
 }
 
-/* the terms of the route in force now */
+/* applies the terms of the route in the current configuration */
 static void apply_route(lw_exchange_t *x, const lw_exchange_request_t *req, lw_fleet_route_t *r,
 			const lw_organisation_t *org)
 {
@@ -162,7 +165,7 @@
 	set_times(x, req, r->timeout_ms);
 }
 
-/* answered before it has a route and terms: nothing of it is kept */
+/* answers a request that has no route or terms yet */
 static void reject_early(lw_exchange_t *x, uint32_t status, const char *why,
 			 uint32_t retry_after_ms)
 {
@@ -191,7 +194,7 @@
 		reject_early(x, 401, "unknown_key", 0);
 }
 
-/* false: a service that the request leads to could not finish it, and it was refused */
+/* returns false if the request was refused, as a service on its call path is overloaded */
 static bool path_admits(lw_exchange_t *x)
 {
 	lw_engine_t *e = x->engine;
@@ -207,7 +210,7 @@
 	return false;
 }
 
-/* false: its organisation is at its limit, and it was refused */
+/* returns false if the request was refused, as its organisation is at its rate limit */
 static bool limit_admits(lw_exchange_t *x, const lw_organisation_t *org)
 {
 	lw_engine_t *e = x->engine;
@@ -226,7 +229,7 @@
 	return false;
 }
 
-/* false: the request was refused */
+/* returns false if the request was refused */
 static bool admit(lw_exchange_t *x, const lw_organisation_t *org)
 {
 	if (x->engine->hub->callers_refused && !x->parent_id.len) {
@@ -238,7 +241,7 @@
 	return path_admits(x) && (!org || limit_admits(x, org));
 }
 
-/* false: it has no route, or nobody known sent it, and it was answered */
+/* returns false if the request was answered, as it has no route or its sender was not identified */
 static bool resolve_route(lw_exchange_t *x, const lw_exchange_request_t *req,
 			  const lw_organisation_t **org)
 {
@@ -275,9 +278,9 @@
 }
 
 /*
- * lw_exchange_start() - take up a request. Call lw_exchange_send() when what
- * has arrived of its body is given, to find it a server. Returns NULL if the
- * request has been answered already.
+ * lw_exchange_start() - accept a request. The caller of this function adds the part of the body
+ * that has arrived and then calls lw_exchange_send(). Returns NULL if the request has already been
+ * answered.
  */
 lw_exchange_t *lw_exchange_start(lw_engine_t *e, lw_reply_t *reply,
 				 const lw_exchange_request_t *req)
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -1,4 +1,6 @@
-/* One request of a caller; see exchange.h. */
+/*
+ * Life cycle and final answers of a caller's request; see exchange.h.
+ */
 #include "exchange_int.h"
 
 #include <stdlib.h>
@@ -9,16 +11,16 @@
 #include "log.h"
 #include "xalloc.h"
 
-/* lw_engine_oldest_us() - age of the oldest request under way, at least 1; 0: there is none. */
+/* lw_engine_oldest_us() - age of the oldest request in progress, at least 1; 0: there is none. */
 uint64_t lw_engine_oldest_us(const lw_engine_t *e)
 {
 	const lw_exchange_t *x = e->exchanges;
 
-	/* one that is just being taken up has no time yet */
+	/* a request that is just being accepted has no start time yet */
 	return x ? e->hub->now_us - (x->started_us ? x->started_us : e->hub->now_us) + 1 : 0;
 }
 
-/* lw_exchange_left_ms() - milliseconds until @until_us, 0 if it has passed. */
+/* lw_exchange_remaining_ms() - milliseconds until @until_us; 0 if it has passed. */
 uint32_t lw_exchange_remaining_ms(const lw_exchange_t *x, uint64_t until_us)
 {
 	uint64_t now = x->engine->hub->now_us;
@@ -27,8 +29,8 @@
 }
 
 /*
- * lw_exchange_release() - the request is over for its caller; freed when this
- * turn of the loop ends.
+ * lw_exchange_release() - the request is finished for its caller; freed at the end of this loop
+ * iteration.
  */
 void lw_exchange_release(lw_exchange_t *x)
 {
@@ -52,14 +54,14 @@
 	lw_hub_free_later(x->engine->hub, x);
 }
 
-/* lw_exchange_count() - the request has ended so, by its route. */
+/* lw_exchange_count() - count the outcome of the request for its route. */
 void lw_exchange_count(const lw_exchange_t *x, lw_route_outcome_t outcome)
 {
 	if (x->stat)
 		lw_routestat_count(x->stat, x->nested, outcome);
 }
 
-/* lw_exchange_attempt_ended() - the lw_exchange_attempt under way has an outcome */
+/* lw_exchange_attempt_done() - the attempt in progress has an outcome. */
 void lw_exchange_attempt_done(lw_exchange_t *x, bool ok)
 {
 	x->call = NULL;
@@ -71,7 +73,7 @@
 	x->host = NULL;
 }
 
-/* lw_exchange_abandon_call() - cancel the attempt under way, if there is one. */
+/* lw_exchange_abandon_call() - cancel the attempt in progress, if any. */
 void lw_exchange_abandon_call(lw_exchange_t *x)
 {
 	lw_call_t *call = x->call;
@@ -82,7 +84,10 @@
 	call->ops->cancel(call);
 }
 
-/* lw_exchange_tell_parent() - the request this call was made for will fail with it, wherever it runs */
+/*
+ * lw_exchange_mark_parent_failed() - a parent request that executes here will fail as its nested
+ * call failed, whichever server executes it.
+ */
 void lw_exchange_mark_parent_failed(const lw_exchange_t *x)
 {
 	if (x->parent_id.len)
@@ -107,14 +112,17 @@
 		reply->ops->local_answer(reply, status, lw_fail_name(why), retry_after_ms);
 }
 
-/* lw_exchange_refuse() - the request has not run and will not: the caller is told when to come back. */
+/*
+ * lw_exchange_refuse() - answer that the request was not and will not be executed, with the delay
+ * before a retry.
+ */
 void lw_exchange_refuse(lw_exchange_t *x, lw_fail_t why)
 {
 	uint32_t room = x->room_ms ? x->room_ms : LW_COMEBACK_DEFAULT_MS;
 	uint32_t ms = lw_comeback_ms(room, x->priority, lw_exchange_remaining_ms(x, x->deadline_us),
 				     lw_hub_random(x->engine->hub, UINT32_MAX));
 
-	/* all that held it are certain to refuse it until then */
+	/* every node that quarantines the request rejects it until then */
 	if (why == LW_FAIL_HELD) {
 		x->engine->stats.held++;
 		ms = room;
@@ -127,10 +135,7 @@
 	answer_locally(x, why == LW_FAIL_OVER_LIMIT ? 429 : 503, why, ms);
 }
 
-/*
- * lw_exchange_answer_verdict() - give the caller the answer that @v stands
- * for; @why goes to the log.
- */
+/* lw_exchange_answer_verdict() - answer the caller according to @v; @why is logged. */
 void lw_exchange_answer_verdict(lw_exchange_t *x, lw_verdict_t v, lw_fail_t why)
 {
 	switch (v) {
@@ -150,7 +155,7 @@
 	}
 }
 
-/* the process leaves: the caller is told what is known of the request */
+/* the process exits: the caller is told whether the request may have been executed */
 static void end_for_exit(lw_exchange_t *x)
 {
 	x->attempts.maybe_ran |= x->call != NULL;
@@ -162,14 +167,14 @@
 					   LW_FAIL_LEAVING);
 }
 
-/* lw_engine_end_all() - answer every request that is still under way, before the process exits. */
+/* lw_engine_finish_all() - answer every request in progress before the process exits. */
 void lw_engine_finish_all(lw_engine_t *e)
 {
 	while (e->exchanges)
 		end_for_exit(e->exchanges);
 }
 
-/* lw_exchange_timeout() - timer: the caller waits no longer, or the route's timeout is over. */
+/* lw_exchange_on_timeout() - timer: the caller's deadline or the route's timeout has passed. */
 void lw_exchange_on_timeout(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_exchange_t *x = w->data;
@@ -186,13 +191,16 @@
 	lw_exchange_answer_verdict(x, LW_VERDICT_TIMEOUT, LW_FAIL_TIMEOUT);
 }
 
-/* lw_exchange_full() - the caller's body is ahead of the server: read no more. */
+/*
+ * lw_exchange_body_full() - whether the buffered request body is large enough to stop reading from
+ * the caller.
+ */
 bool lw_exchange_body_full(const lw_exchange_t *x)
 {
 	return lw_bytebuf_len(&x->body) >= 2 * BODY_RETAINED_BYTES;
 }
 
-/* lw_exchange_body() - more of the request's body; @fin: that was all. */
+/* lw_exchange_body() - add @data to the request body; @fin: the body is complete. */
 void lw_exchange_body(lw_exchange_t *x, lw_str_t data, bool fin)
 {
 	if (x->dead)
@@ -208,14 +216,14 @@
 	lw_exchange_send_body(x);
 }
 
-/* lw_exchange_taken() - the caller took @bytes of the answer's body. */
+/* lw_exchange_credit() - the caller consumed @bytes of the answer's body. */
 void lw_exchange_credit(lw_exchange_t *x, uint32_t bytes)
 {
 	if (!x->dead && x->call)
 		x->call->ops->credit(x->call, bytes);
 }
 
-/* lw_exchange_cancel() - the caller is gone: stop the work. */
+/* lw_exchange_cancel() - the caller disconnected: cancel the request. */
 void lw_exchange_cancel(lw_exchange_t *x)
 {
 	if (x->dead)
@@ -226,7 +234,7 @@
 	lw_exchange_release(x);
 }
 
-/* lw_exchange_send() - find the request a server. */
+/* lw_exchange_send() - send the request to a server, once it is known whether it is quarantined. */
 void lw_exchange_send(lw_exchange_t *x)
 {
 	if (x->dead)
--- a/src/exchange_int.h
+++ b/src/exchange_int.h
@@ -1,4 +1,6 @@
-/* Shared by the files of the exchange module only; others use exchange.h. */
+/*
+ * Internal to the exchange module; other modules use exchange.h.
+ */
 #ifndef LW_EXCHANGE_INT_H
 #define LW_EXCHANGE_INT_H
 
@@ -7,57 +9,62 @@
 #include "retryrule.h"
 #include "exchange.h"
 
-/* a body up to this size is kept so that it can be sent to another server */
+/* a body up to this size is retained so that it can be resent to another server */
 #define BODY_RETAINED_BYTES LW_CALL_WINDOW
 
 struct lw_exchange {
 	lw_sink_t sink;
 	lw_engine_t *engine;
-	struct lw_exchange *prev, *next; /* of the engine's, by age */
-	lw_reply_t *reply; /* NULL once the caller has its answer or is gone */
-	lw_call_t *call; /* the lw_exchange_attempt under way */
-	lw_place_host_t *host; /* it went to */
+	struct lw_exchange *prev, *next; /* in the engine's list, oldest first */
+	lw_reply_t *reply; /* NULL once the caller was answered or has disconnected */
+	lw_call_t *call; /* the attempt in progress, or NULL */
+	lw_place_host_t *host; /* host of the attempt in progress, or NULL */
 	lw_place_service_t *service;
 	lw_bytebuf_t head;
 	lw_bytebuf_t body;
-	uint64_t body_base; /* bytes of the body no longer kept */
-	uint64_t sent; /* bytes of the body given to the lw_exchange_attempt */
-	uint64_t credit; /* bytes the lw_exchange_attempt takes in all */
+	uint64_t body_base; /* bytes of the body that were discarded from the buffer */
+	uint64_t sent; /* bytes of the body sent in the attempt in progress */
+	uint64_t credit; /* total bytes of the body that the attempt accepts so far */
 	int64_t body_length;
-	char *request_id; /* of any length: ids of nested calls grow with their depth */
+	char *request_id; /* of any length: the ids of nested calls grow with their depth */
 	char route[LW_NAME_MAX];
-	char last[LW_NAME_MAX]; /* the backend server of the last attempt that ended */
-	lw_routestat_t *stat; /* of the route */
-	lw_str_t parent_id; /* of the request it was made for: part of request_id */
+	char last[LW_NAME_MAX]; /* backend server of the last finished attempt */
+	lw_routestat_t *stat; /* route statistics */
+	/* id of the parent request, a prefix of request_id; empty: none is known here */
+	lw_str_t parent_id;
 	uint32_t rank;
-	uint32_t priority; /* of the route */
-	char org[LW_NAME_MAX]; /* the organisation that asks; empty: none does */
+	uint32_t priority; /* priority of the route */
+	char org[LW_NAME_MAX]; /* organisation of the caller; empty: none */
 	uint64_t org_id;
-	bool counted; /* against its limit */
+	bool counted; /* counted against the rate limit of the organisation */
 	uint32_t target_ms;
 	uint64_t started_us;
-	uint64_t give_up_us; /* the caller's deadline or the route's timeout */
-	uint64_t deadline_us; /* the caller's */
+	uint64_t give_up_us; /* the earlier of the caller's deadline and the route's timeout */
+	uint64_t deadline_us; /* the caller's deadline */
 	uint64_t target_us; /* when the user request misses its latency objective */
-	uint32_t room_ms; /* shortest wait for room a server told */
+	uint32_t room_ms; /* shortest retry-after delay reported by a server; 0: none */
 	lw_attempts_t attempts;
 	lw_fingerprinter_t print;
 	lw_place_tried_t tried;
 	ev_timer timer;
-	ev_timer stall; /* until the lw_exchange_attempt counts as stalled */
-	ev_timer hold; /* until the next look for a host */
+	ev_timer stall; /* expires when the attempt counts as stalled */
+	ev_timer hold; /* expires when a host is searched again or crash reports were awaited */
 	lw_fail_t hold_reason;
-	bool retried_all_hosts; /* every host was tried anew once, as none had received it */
-	bool resending; /* the attempt under way goes to a server that had it already */
+	/* all hosts were retried once, as none of them had received the request */
+	bool retried_all_hosts;
+	/* the attempt in progress is a resend to a server that already had the request */
+	bool resending;
 	bool nested;
-	bool repeat; /* made by a run that was a repeat */
-	uint32_t above; /* levels of requests above it */
-	bool fin; /* the body is complete */
-	bool answering; /* the caller has the head of the answer */
-	bool answered_ok; /* it is no failure of the server */
-	bool limited; /* what decided last was a limit that backend servers have named */
-	bool waited_for_crash_reports; /* word of servers that ended under it elsewhere was waited for */
-	bool awaits_body; /* which tells whether servers ended under the request */
+	bool repeat; /* made by a request that was itself a retry */
+	uint32_t above; /* number of requests above it in the call graph */
+	bool fin; /* the request body is complete */
+	bool answering; /* the head of the answer was delivered to the caller */
+	bool answered_ok; /* the status is not a server error */
+	/* the last rejection was due to a rate limit that backend servers announced */
+	bool limited;
+	/* crash reports about this request from other nodes were awaited once */
+	bool waited_for_crash_reports;
+	bool awaits_body; /* the quarantine needs the fingerprint of the body */
 	bool dead;
 };
 
--- a/src/exchattempt.c
+++ b/src/exchattempt.c
@@ -1,28 +1,30 @@
-/* The attempts of one request: which host it is given to, and the wait for one. */
+/*
+ * The attempts of one request: choice of a host, sending, and waiting while no host is available.
+ */
 #include "exchange_int.h"
 
 #include "log.h"
 
-/* an attempt that takes so many times as long as usual counts as stalled */
+/* an attempt counts as stalled if it takes this many times the average */
 #define STALL_FACTOR 8
 #define STALL_MIN_US 150000
 /*
- * Longest useful wait of a new request in front of a server, in percent of
- * its latency objective: refused, it can go elsewhere or come back in time.
+ * Longest useful wait of a new request in the queue of a server, in percent of its latency
+ * objective: if rejected by then, it can still be sent elsewhere or retried by the caller in time.
  */
 #define QUEUE_NEW_PERCENT 35
 /*
- * When a service has no reachable server, as when a node restarts beside the
- * last one, the request waits a little for it to come back, in percent of the
- * latency objective, and looks again after so many milliseconds.
+ * If a service has no reachable server, for example while the node beside its last server
+ * restarts, the request waits for up to this share of its latency objective, in percent, and
+ * searches for a host at this interval, in milliseconds.
  */
 #define HOLD_NEW_PERCENT    12
 #define HOLD_NESTED_PERCENT 40
 #define HOLD_INTERVAL_MS    40
 
 /*
- * lw_exchange_log_retry() - the inputs of the choice: why again, and how loaded
- * and old the news of the host is.
+ * lw_exchange_log_retry() - log the inputs of the choice: the reason for the retry, and the host's
+ * load and its age.
  */
 void lw_exchange_log_retry(const lw_exchange_t *x, lw_fail_t last)
 {
@@ -37,7 +39,7 @@
 	       lw_exchange_remaining_ms(x, x->give_up_us));
 }
 
-/* lw_exchange_choice() - what the choice of a host depends on now. */
+/* lw_exchange_place_query() - the current parameters for the choice of a host. */
 lw_place_ask_t lw_exchange_place_query(const lw_exchange_t *x)
 {
 	lw_hub_t *hub = x->engine->hub;
@@ -63,8 +65,8 @@
 {
 	uint32_t left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	/*
-	 * A call of a running request that is refused loses all that was done for
-	 * it, and a request that may have run can be told no more than 502.
+	 * Rejecting a nested call wastes all work done for its parent, and a request that may have
+	 * been executed can only be answered with 502.
 	 */
 	bool may_wait = x->nested || x->attempts.maybe_ran;
 
@@ -80,7 +82,7 @@
 	req->notice = x->host->load.notice;
 }
 
-/* lw_exchange_hold_over() - timer: look again for a host, also among those tried. */
+/* lw_exchange_on_hold_timer() - timer: search for a host again, including those already tried. */
 void lw_exchange_on_hold_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_exchange_t *x = w->data;
@@ -92,9 +94,9 @@
 }
 
 /*
- * A service without a reachable server is as good as full: what leads to it
- * is refused at its root, or it all runs down to the missing server and fails
- * there (seen as runs that end in 500; half of all in one partition).
+ * A service without a reachable server is reported as fully overloaded, so that requests that call
+ * it are refused where they enter the fleet. Otherwise they would all be executed down to the
+ * missing server and fail there with 500, as half of all requests did in one network partition.
  */
 static void report_service_unavailable(lw_exchange_t *x)
 {
@@ -109,7 +111,10 @@
 		lw_gate_note_call(&e->gate, x->parent_id, &shut);
 }
 
-/* lw_exchange_wait_for_host() - look again in a moment, if there is time and no host had the request */
+/*
+ * lw_exchange_wait_for_host() - schedule another search for a host. Returns false if there is no
+ * time left or a host has already received the request.
+ */
 bool lw_exchange_wait_for_host(lw_exchange_t *x, lw_fail_t last)
 {
 	uint32_t percent = x->nested ? HOLD_NESTED_PERCENT : HOLD_NEW_PERCENT;
@@ -126,7 +131,7 @@
 	return true;
 }
 
-/* wait for a host if there is time and none has had the request */
+/* waits for a host if possible, otherwise answers */
 static void hold_or_answer(lw_exchange_t *x, lw_fail_t last)
 {
 	bool unreached = last == LW_FAIL_NO_SERVER || last == LW_FAIL_UNSENT;
@@ -139,15 +144,15 @@
 }
 
 /*
- * Connections to all hosts may fall silent together while new ones work: none
- * of them had the request, and each may have it over its next connection.
+ * Connections to all hosts may go silent together while new ones work. In that case no host
+ * received the request, and each can be retried once over a new connection.
  */
 static bool may_retry_all_hosts(const lw_exchange_t *x, lw_fail_t last)
 {
 	return last == LW_FAIL_UNSENT && !x->attempts.given && !x->retried_all_hosts;
 }
 
-/* no host is left that has not been tried */
+/* every host has been tried */
 static void no_host(lw_exchange_t *x, lw_fail_t last)
 {
 	if (may_retry_all_hosts(x, last)) {
@@ -159,7 +164,7 @@
 	hold_or_answer(x, last);
 }
 
-/* lw_exchange_give() - hand the request to the host that was chosen */
+/* lw_exchange_submit() - send the request to the chosen host. */
 void lw_exchange_submit(lw_exchange_t *x)
 {
 	lw_engine_t *e = x->engine;
@@ -195,7 +200,10 @@
 	}
 }
 
-/* lw_exchange_attempt() - give the request to the best host that has not had it; @last: why again */
+/*
+ * lw_exchange_attempt() - send the request to the best host not tried yet; @last: why the previous
+ * attempt failed.
+ */
 void lw_exchange_attempt(lw_exchange_t *x, lw_fail_t last)
 {
 	lw_place_ask_t req = lw_exchange_place_query(x);
@@ -211,7 +219,10 @@
 		no_host(x, last);
 }
 
-/* lw_exchange_attempt_at() - give the request to @host, which has not had it; @last: why again */
+/*
+ * lw_exchange_attempt_at() - send the request to @host, which has not been tried yet; @last: why
+ * the previous attempt failed.
+ */
 void lw_exchange_attempt_at(lw_exchange_t *x, lw_place_host_t *host, lw_fail_t last)
 {
 	x->host = host;
--- a/src/exchdetain.c
+++ b/src/exchdetain.c
@@ -1,12 +1,14 @@
-/* Requests under which backend servers ended: tried alone, or held back. */
+/*
+ * Quarantine of requests that crashed backend servers: each is tried alone or rejected.
+ */
 #include "exchange_int.h"
 
 #include "log.h"
 
-/* servers that end under copies of a request end within this time, in seconds */
+/* servers that execute copies of the same request crash within this time, in seconds */
 #define CRASH_REPORT_WAIT_S 0.02
 
-/* lw_exchange_verdict() - what is to be done with the request, as far as it is known by now. */
+/* lw_exchange_verdict() - the current quarantine verdict on the request. */
 lw_quarantine_verdict_t lw_exchange_verdict(const lw_exchange_t *x)
 {
 	return lw_quarantine_verdict(x->engine->quarantine, &x->print.value,
@@ -23,7 +25,10 @@
 	lw_exchange_answer_verdict(x, lw_retry_final(&x->attempts, LW_FAIL_HELD), LW_FAIL_HELD);
 }
 
-/* given to one server, the same for all nodes, whose node lets one of its kind in at a time */
+/*
+ * sends the request to a trial server; all nodes choose the same one, whose node admits one copy
+ * at a time
+ */
 static void start_trial(lw_exchange_t *x, lw_fail_t last)
 {
 	const lw_suspect_t *s = lw_quarantine_find(x->engine->quarantine, &x->print.value);
@@ -39,8 +44,9 @@
 }
 
 /*
- * lw_exchange_detain() - if servers ended under the request: try it alone, wait for
- * that, or answer. False if it may be given to any server; @last: why again.
+ * lw_exchange_apply_quarantine() - if the request is suspected of crashing servers: try it alone,
+ * wait for that, or answer it. Returns false if it may be sent to any server; @last: why the
+ * previous attempt failed.
  */
 bool lw_exchange_apply_quarantine(lw_exchange_t *x, lw_fail_t last)
 {
@@ -61,9 +67,10 @@
 }
 
 /*
- * lw_exchange_wait_for_word() - a server ended with the request in hand: before it
- * goes to the next one, word that others ended under a copy of it is waited for. Sent
- * on at once each copy would end one server more.
+ * lw_exchange_wait_for_crash_reports() - a server crashed while executing the request: before the
+ * request is sent to the next server, wait for reports of other crashes caused by copies of it. If
+ * each copy were resent at once, each would crash one more server. Returns false if there is
+ * nothing to wait for.
  */
 bool lw_exchange_wait_for_crash_reports(lw_exchange_t *x)
 {
@@ -77,7 +84,10 @@
 	return true;
 }
 
-/* lw_exchange_tell_answered() - a server answered it in full and lives: others hear that it is not the cause. */
+/*
+ * lw_exchange_clear_suspect() - a server answered the request completely and did not crash: tell
+ * the other nodes that the request is not the cause.
+ */
 void lw_exchange_clear_suspect(const lw_exchange_t *x)
 {
 	const lw_suspect_t *news;
--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -1,9 +1,11 @@
-/* What follows from each outcome of an attempt: elsewhere, again, or an answer. */
+/*
+ * Handles the outcome of each attempt: retry on another server, resend, or answer.
+ */
 #include "exchange_int.h"
 
 #include "log.h"
 
-/* without room elsewhere a stalled attempt is looked at again after this, in seconds */
+/* if no other server has room, a stalled attempt is checked again after this, in seconds */
 #define STALL_RECHECK_S 0.1
 
 static bool take_retry(lw_exchange_t *x)
@@ -26,7 +28,10 @@
 	return false;
 }
 
-/* give the request to the best of the servers that had it; one of them takes it */
+/*
+ * resends the request to the best of the servers that already had it; at least one of them accepts
+ * work
+ */
 static void resend_to_best(lw_exchange_t *x, lw_fail_t why, const lw_place_ask_t *req)
 {
 	x->host = lw_place_pick_again(x->service, &x->tried, req);
@@ -37,8 +42,8 @@
 }
 
 /*
- * Once more to one of the servers that had it, the best of them; false if none
- * takes it. @paid: the allowance has counted it.
+ * Resends the request to the best of the servers that already had it; returns false if none
+ * accepts it. @paid: the retry allowance has already been charged.
  */
 static bool try_resend(lw_exchange_t *x, lw_fail_t why, bool paid)
 {
@@ -51,7 +56,7 @@
 	return true;
 }
 
-/* lw_exchange_after_failure() - a call failed: try elsewhere or answer */
+/* lw_exchange_after_failure() - an attempt failed with @why: retry or answer. */
 void lw_exchange_after_failure(lw_exchange_t *x, lw_fail_t why)
 {
 	if (x->answering) {
@@ -77,7 +82,10 @@
 		lw_exchange_retry_or_answer(x, why);
 }
 
-/* lw_exchange_go_on() - the outcome of the last attempt is counted: try elsewhere or answer */
+/*
+ * lw_exchange_retry_or_answer() - the outcome of the last attempt has been counted: retry or
+ * answer.
+ */
 void lw_exchange_retry_or_answer(lw_exchange_t *x, lw_fail_t why)
 {
 	lw_verdict_t v;
@@ -99,8 +107,8 @@
 }
 
 /*
- * The node told its load: placement, and the levels along the request's path.
- * @served: with a whole answer, so that what it ran at each service is known.
+ * Updates placement and the admission thresholds on the call path with the load reported by the
+ * node. @served: the answer is complete, so the work it caused at each service is known.
  */
 static void apply_load(lw_exchange_t *x, const lw_load_t *load, bool served)
 {
@@ -124,9 +132,9 @@
 }
 
 /*
- * Whoever passes on an answer in which the server says that it leaves is bound by
- * that from then on, also where neither the store nor the node beside the server
- * can be heard: the server would get requests that meet its end.
+ * A node that forwards an answer in which the server announces that it is leaving heeds that
+ * announcement from then on, even if neither the store nor the node beside the server can be
+ * reached. Otherwise the server would get requests that fail when it exits.
  */
 static void apply_notice(const lw_exchange_t *x, const lw_answer_t *a)
 {
@@ -165,7 +173,7 @@
 	lw_exchange_after_failure(x, why);
 }
 
-/* lw_exchange_feed() - bytes of the body that the lw_exchange_attempt may take now */
+/* lw_exchange_send_body() - send the part of the body that the attempt accepts now. */
 void lw_exchange_send_body(lw_exchange_t *x)
 {
 	size_t held = lw_bytebuf_len(&x->body);
@@ -186,7 +194,10 @@
 	}
 }
 
-/* the server took part of the body: give more, and forget what is too much to keep */
+/*
+ * the server consumed part of the body: send more, and discard the part that is too large to
+ * retain
+ */
 static void sink_credit(lw_sink_t *s, uint32_t bytes)
 {
 	lw_exchange_t *x = (lw_exchange_t *)s;
@@ -210,7 +221,7 @@
 		x->reply->ops->resume(x->reply);
 }
 
-/* what follows the failure @status that a server answered with */
+/* verdict on a server's answer with the failure @status */
 static lw_verdict_t verdict_for_answer(const lw_exchange_t *x, uint32_t status)
 {
 	lw_attempts_t a = x->attempts;
@@ -221,7 +232,10 @@
 	return lw_retry_answer(&a, status);
 }
 
-/* the answer is a failure of the server: ask again instead of passing it on, if that may be */
+/*
+ * if the answer is a server failure, retries the request where allowed instead of forwarding the
+ * answer
+ */
 static bool retry_after_answer(lw_exchange_t *x, uint32_t status, bool fin)
 {
 	lw_verdict_t v = verdict_for_answer(x, status);
@@ -292,7 +306,7 @@
 		reply->ops->data(reply, data, fin);
 }
 
-/* look again in a moment whether another server has room */
+/* checks again after a short delay whether another server has room */
 static void schedule_room_check(lw_exchange_t *x)
 {
 	struct ev_loop *loop = x->engine->hub->loop;
@@ -303,7 +317,9 @@
 	ev_timer_start(loop, &x->stall);
 }
 
-/* the call under way is given up for another try: @v says where, @room is a host that has room */
+/*
+ * abandons the call in progress for another attempt: @v says where, @room is a host that has room
+ */
 static void try_elsewhere(lw_exchange_t *x, lw_verdict_t v, lw_place_host_t *room,
 			  const lw_place_ask_t *req)
 {
@@ -319,11 +335,11 @@
 }
 
 /*
- * Nothing is heard of the call under way, or it takes far longer than usual. A
- * request that may run twice goes elsewhere, a call also to another server that
- * had it; any other can only wait. So does one that no other host has room for,
- * @sure: is known to have room for: given up for a refusal there it is lost
- * (502), though its server is at work.
+ * The call in progress is silent or takes much longer than usual. An idempotent request is sent to
+ * another server; a nested call may also be resent to a server that already had it; any other
+ * request can only wait. The request also waits if no other host has room for it (@sure: is known
+ * to have room): if it were abandoned and then rejected there, it would fail with 502 although its
+ * server is still working on it.
  */
 static void abandon_stalled(lw_exchange_t *x, bool sure)
 {
@@ -366,9 +382,9 @@
 };
 
 /*
- * lw_exchange_stalled() - timer: an answer that takes far longer than usual was
- * lost, or the server hangs, or the call has just waited long in a queue. A node
- * that stops breaks nothing off.
+ * lw_exchange_on_stall_timer() - timer: the attempt takes much longer than usual. The answer was
+ * lost, the server hangs, or the call spent a long time in a queue. A node that is stopping
+ * abandons nothing.
  */
 void lw_exchange_on_stall_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
