--- a/src/bconn.c
+++ b/src/bconn.c
@@ -9,9 +9,9 @@
 #include "linux/sock.h"
 #include "xalloc.h"
 
-/* read at once: a whole answer of the usual size with one system call */
+/* bytes per read; one system call reads a whole answer of the usual size */
 #define READ_BYTES 16384
-/* an answer's head above this size is not one */
+/* a longer answer head is invalid */
 #define HEAD_MAX_BYTES 65536
 
 static void watch(lw_bconn_t *c)
@@ -32,7 +32,7 @@
 		ev_io_start(c->hub->loop, &c->io);
 }
 
-/* A failure is told from the loop, never from inside a call of the user. */
+/* Failures are reported from the event loop, never from within a call by the user. */
 static void fail_later(lw_bconn_t *c)
 {
 	c->failed = true;
@@ -87,7 +87,7 @@
 		lw_bconn_close(c);
 }
 
-/* the head of the next response on the connection; false: stop for now */
+/* processes the head of the next response; returns false to stop parsing for now */
 static bool parse_head(lw_bconn_t *c)
 {
 	static lw_httphead_t head;
@@ -159,7 +159,7 @@
 		more = c->in_body ? parse_body(c) : parse_head(c);
 }
 
-/* The server closed its side: an answer without a length is complete then. */
+/* The server closed its side, which completes an answer without a length. */
 static void on_eof(lw_bconn_t *c)
 {
 	if (c->in_body) {
@@ -186,7 +186,7 @@
 		if (c->user)
 			parse(c);
 		else
-			end_broken(c); /* bytes that no request asked for */
+			end_broken(c); /* data without a request */
 		return;
 	}
 	if (n == 0)
@@ -220,7 +220,7 @@
 		lw_bconn_flush(c);
 }
 
-/* lw_bconn_open() - begin to connect to the backend server at @addr; NULL on failure. */
+/* lw_bconn_open() - start connecting to the backend server at @addr; NULL on failure. */
 lw_bconn_t *lw_bconn_open(lw_hub_t *hub, const char *addr)
 {
 	lw_bconn_t *c;
@@ -238,7 +238,7 @@
 	return c;
 }
 
-/* lw_bconn_start() - begin a request; its bytes follow with lw_bconn_queue(). */
+/* lw_bconn_start() - start a request; its bytes are added with lw_bconn_queue(). */
 void lw_bconn_start(lw_bconn_t *c, const lw_bconn_ops_t *ops, void *user, bool is_head)
 {
 	c->ops = ops;
@@ -253,9 +253,9 @@
 }
 
 /*
- * lw_bconn_long_body() - the body of the request begun is more than a window: the
- * server may read it in its own time. Of a server that is gone without a word the
- * kernel tells then only later, as it does not know one from the other.
+ * lw_bconn_long_body() - the body of the current request exceeds one window, so the server may
+ * legitimately pause reading. The kernel then takes longer to detect a server that vanished
+ * without closing the connection, as both look the same.
  */
 void lw_bconn_long_body(lw_bconn_t *c)
 {
@@ -264,13 +264,16 @@
 		lw_sock_allow_pauses(c->fd, true);
 }
 
-/* lw_bconn_queue() - bytes of the request; lw_bconn_flush() sends them. */
+/* lw_bconn_queue() - queue bytes of the request; lw_bconn_flush() sends them. */
 void lw_bconn_queue(lw_bconn_t *c, lw_str_t data)
 {
 	lw_bytebuf_append_str(&c->out, data);
 }
 
-/* lw_bconn_flush() - give the kernel what it takes now, the rest when it can. */
+/*
+ * lw_bconn_flush() - write as much as the kernel accepts; the rest follows when the socket is
+ * writable.
+ */
 void lw_bconn_flush(lw_bconn_t *c)
 {
 	size_t total = 0;
@@ -293,14 +296,14 @@
 		c->ops->written(c->user, total);
 }
 
-/* lw_bconn_pause() - stop or resume reading the answer. */
+/* lw_bconn_pause() - pause or resume reading the answer. */
 void lw_bconn_pause(lw_bconn_t *c, bool pause)
 {
 	c->paused = pause;
 	watch(c);
 }
 
-/* lw_bconn_idle() - the connection waits for its next request. */
+/* lw_bconn_idle() - mark the connection as idle until its next request. */
 void lw_bconn_idle(lw_bconn_t *c)
 {
 	if (c->long_body)
@@ -315,9 +318,9 @@
 }
 
 /*
- * lw_bconn_close() - close the connection; its user is not told. What the
- * kernel has not sent yet is discarded, so that the backend server stops work
- * that nobody waits for and never gets a request late.
+ * lw_bconn_close() - close the connection without notifying its user. Data that the kernel has not
+ * sent yet is discarded, so that the backend server stops work that nobody waits for and never
+ * receives a request late.
  */
 void lw_bconn_close(lw_bconn_t *c)
 {
--- a/src/bconn.h
+++ b/src/bconn.h
@@ -1,6 +1,6 @@
 /*
- * One HTTP/1.1 connection to the backend server on this host. It carries one
- * request at a time and tells its user, through a vtable, what came of it.
+ * One HTTP/1.1 connection to the backend server on this host. It carries one request at a time and
+ * reports its progress and outcome to its user through a vtable.
  */
 #ifndef LW_BCONN_H
 #define LW_BCONN_H
@@ -17,14 +17,17 @@
 typedef struct lw_bconn lw_bconn_t;
 
 typedef struct lw_bconn_ops {
-	/* @bytes more of what was queued were given to the kernel */
+	/* @bytes more of the queued data were passed to the kernel */
 	void (*written)(void *user, size_t bytes);
-	/* the head of the answer; false: the answer is not for this request */
+	/* the head of the answer; returns false if the answer does not belong to this request */
 	bool (*head)(void *user, const lw_httphead_t *h);
 	void (*body)(void *user, lw_str_t data);
-	/* the answer is complete; @reusable: the connection can take another */
+	/* the answer is complete; @reusable: the connection can carry another request */
 	void (*done)(void *user, bool reusable);
-	/* the connection ended first; @sent: the server may have the request */
+	/*
+	 * the connection closed before the answer was complete; @sent: the server may have received
+	 * the request
+	 */
 	void (*broken)(void *user, bool sent);
 } lw_bconn_ops_t;
 
@@ -35,24 +38,24 @@
 	int fd;
 	ev_io io;
 	bool connecting;
-	bool established; /* the server took the connection */
-	bool failed; /* reported at the next turn of the loop */
+	bool established; /* the server accepted the connection */
+	bool failed; /* a failure will be reported in the next loop iteration */
 	bool closed;
-	bool paused; /* the answer is not read on */
-	bool in_body; /* the head of the answer is through */
-	bool completed; /* the parser saw the end of the answer */
+	bool paused; /* reading of the answer is paused */
+	bool in_body; /* the head of the answer was processed */
+	bool completed; /* the parser reached the end of the answer */
 	bool keep; /* the server keeps the connection open */
-	bool sent; /* bytes of this request reached the kernel */
-	bool long_body; /* of the request: the server may pause in it */
+	bool sent; /* bytes of this request were passed to the kernel */
+	bool long_body; /* the request has a long body, in which the server may pause reading */
 	bool is_head; /* the answer to a HEAD request has no body */
-	uint32_t requests; /* carried so far */
-	uint32_t idle_limit_s; /* announced by the server; 0: none */
+	uint32_t requests; /* number of requests carried so far */
+	uint32_t idle_limit_s; /* idle timeout announced by the server; 0: none */
 	uint64_t idle_since_us;
 	http_parser parser;
 	lw_bytebuf_t in;
 	lw_bytebuf_t out;
-	struct lw_bconn *next; /* in a list of idle connections */
-	lw_hub_fn on_idle_end; /* an idle connection was closed by the server */
+	struct lw_bconn *next; /* next in the list of idle connections */
+	lw_hub_fn on_idle_end; /* called when the server closes the connection while it is idle */
 	void *idle_ctx;
 };
 
--- a/src/caller.c
+++ b/src/caller.c
@@ -1,4 +1,6 @@
-/* Connections of callers; see caller.h. */
+/*
+ * Connections of callers: accept, write, timeouts and close; see caller.h.
+ */
 #include "caller_int.h"
 
 #include <errno.h>
@@ -12,12 +14,15 @@
 #define BODY_DEFAULT_BYTES (64u * 1024 * 1024)
 #define HEAD_DEFAULT_MS	   3000
 #define IDLE_DEFAULT_MS	   15000
-/* a connection without a request is not closed for a stop while it is younger, us */
+/* when the node stops, connections without a request are kept open until they are this old, us */
 #define NEW_CONN_US 500000
-/* descriptors left for peers, the backend server and files */
+/* file descriptors reserved for peers, the backend server and files */
 #define FDS_RESERVED 700
 
-/* lw_caller_watch() - wait for what the connection needs next: bytes, or room to write. */
+/*
+ * lw_caller_watch() - wait for the events that the connection needs next: readable, writable or
+ * both.
+ */
 void lw_caller_watch(lw_caller_t *c)
 {
 	int events = 0;
@@ -38,7 +43,7 @@
 		ev_io_start(c->set->hub->loop, &c->io);
 }
 
-/* lw_caller_close() - close the connection; a request under way is cancelled. */
+/* lw_caller_close() - close the connection; a request in progress is cancelled. */
 void lw_caller_close(lw_caller_t *c)
 {
 	lw_exchange_t *x = c->x;
@@ -69,7 +74,10 @@
 	}
 }
 
-/* lw_caller_flush() - give the kernel what it takes now, the rest when it can. */
+/*
+ * lw_caller_flush() - write as much as the kernel accepts; the rest follows when the socket is
+ * writable.
+ */
 void lw_caller_flush(lw_caller_t *c)
 {
 	while (!c->closed && lw_bytebuf_len(&c->out)) {
@@ -156,7 +164,7 @@
 			return;
 		caller_new(l, fd);
 	}
-	/* as many connections as there are descriptors: the rest wait */
+	/* file descriptors are exhausted: further connections wait in the backlog */
 	ev_io_stop(l->set->hub->loop, &l->io);
 }
 
@@ -194,7 +202,7 @@
 			ev_io_start(cs->hub->loop, &l->io);
 }
 
-/* the host was suspended: what lies unread is old by that time */
+/* the host was suspended: unread data is older by the duration of the suspend */
 static void on_resume(struct ev_loop *loop, ev_check *w, int revents)
 {
 	lw_callers_t *cs = w->data;
@@ -207,16 +215,16 @@
 		c->late_us = cs->hub->slept_us;
 }
 
-/* lw_callers_set_ready() - what the platform hears when it asks. */
+/* lw_callers_set_ready() - set the answer to the platform's readiness check. */
 void lw_callers_set_ready(lw_callers_t *cs, bool ready)
 {
 	cs->ready = ready;
 }
 
 /*
- * lw_callers_close_idle() - close connections that carry no request now, but for
- * fresh ones: the first request of a caller, or a call of running work, may lie
- * unread in the kernel (8 of 433 runs with a call failed so).
+ * lw_callers_close_idle() - close connections that carry no request, except recently opened ones.
+ * The first request of a caller, or a nested call of an executing request, may still be unread in
+ * the kernel (8 of 433 requests with a nested call failed that way).
  */
 void lw_callers_close_idle(lw_callers_t *cs)
 {
@@ -230,7 +238,7 @@
 	}
 }
 
-/* lw_callers_close_listeners() - no new connections of callers from now on. */
+/* lw_callers_close_listeners() - accept no more connections of callers. */
 void lw_callers_close_listeners(lw_callers_t *cs)
 {
 	for (lw_listener_t *l = cs->listeners; l; l = l->next) {
@@ -242,7 +250,7 @@
 	}
 }
 
-/* lw_callers_unwritten() - whether a caller has not taken all of an answer yet. */
+/* lw_callers_unwritten() - whether any answer has not been written completely. */
 bool lw_callers_unwritten(const lw_callers_t *cs)
 {
 	for (const lw_caller_t *c = cs->conns; c; c = c->next)
@@ -251,7 +259,10 @@
 	return false;
 }
 
-/* lw_callers_end() - the process exits: close everything, so that nobody waits for its last lines. */
+/*
+ * lw_callers_close_all() - close all listeners and connections before the process exits, so that
+ * no caller waits while the process writes its last log lines.
+ */
 void lw_callers_close_all(lw_callers_t *cs)
 {
 	lw_callers_close_listeners(cs);
@@ -259,21 +270,21 @@
 		lw_caller_close(cs->conns);
 }
 
-/* lw_callers_count() - open connections. */
+/* lw_callers_count() - number of open connections. */
 uint32_t lw_callers_count(const lw_callers_t *cs)
 {
 	return cs->count;
 }
 
-/* lw_callers_stats() - counts since the start. */
+/* lw_callers_stats() - counters since the start. */
 const lw_callers_stats_t *lw_callers_stats(const lw_callers_t *cs)
 {
 	return &cs->stats;
 }
 
 /*
- * lw_callers_listen() - accept connections at "ip:port". @ready_only: only
- * the platform's question whether this node is ready is answered there.
+ * lw_callers_listen() - accept connections at "ip:port" @addr. @ready_only: the listener serves
+ * only the platform's readiness check.
  */
 lw_status_t lw_callers_listen(lw_callers_t *cs, const char *addr, bool ready_only)
 {
@@ -293,7 +304,7 @@
 	return LW_OK;
 }
 
-/* lw_callers_new() - no connections yet. */
+/* lw_callers_new() - create the connection set of @engine, without listeners. */
 lw_callers_t *lw_callers_new(lw_engine_t *engine)
 {
 	lw_callers_t *cs = xcalloc(1, sizeof(*cs));
--- a/src/caller.h
+++ b/src/caller.h
@@ -1,6 +1,6 @@
 /*
- * Connections of callers: HTTP/1.1 server side. Reads requests strictly one
- * after the other, streams bodies both ways, and notices when a caller leaves.
+ * HTTP/1.1 server for callers. Handles the requests of a connection strictly one after the other,
+ * streams bodies in both directions, and detects callers that disconnect.
  */
 #ifndef LW_CALLER_H
 #define LW_CALLER_H
@@ -19,7 +19,7 @@
 	uint64_t too_large;
 	uint64_t head_timeouts;
 	uint64_t idle_closed;
-	uint64_t left; /* while a request of theirs was under way */
+	uint64_t left; /* callers that disconnected while their request was in progress */
 } lw_callers_stats_t;
 
 lw_callers_t *lw_callers_new(lw_engine_t *engine);
--- a/src/caller_int.h
+++ b/src/caller_int.h
@@ -1,4 +1,6 @@
-/* Shared by the files of the caller module only; others use caller.h. */
+/*
+ * Internal to the caller module; other modules use caller.h.
+ */
 #ifndef LW_CALLER_INT_H
 #define LW_CALLER_INT_H
 
@@ -8,12 +10,12 @@
 #include "bytebuf.h"
 #include "caller.h"
 
-/* a caller that sends ahead of its answers is not read beyond this */
+/* limit on the bytes read from a caller that pipelines requests */
 #define READ_AHEAD_MAX_BYTES 65536
 
 typedef enum {
-	CALLER_HEAD, /* waits for or reads the head of a request */
-	CALLER_BODY, /* reads its body */
+	CALLER_HEAD, /* waiting for or reading the head of a request */
+	CALLER_BODY, /* reading the body */
 	CALLER_WAIT, /* the request is complete, the answer is not */
 } caller_state_t;
 
@@ -23,26 +25,28 @@
 	int fd;
 	ev_io io;
 	caller_state_t state;
-	lw_exchange_t *x; /* NULL before a request and once it has its answer */
+	lw_exchange_t *x; /* NULL before a request and after its answer */
 	lw_bytebuf_t in;
 	lw_bytebuf_t out;
 	http_parser parser;
-	uint64_t since_us; /* of the state */
-	uint64_t late_us; /* what is read now arrived so much earlier */
+	uint64_t since_us; /* when the current state began */
+	/* how much earlier the data read now arrived, after a suspend of the host */
+	uint64_t late_us;
 	uint64_t body_seen;
-	uint32_t uncredited; /* answer bytes in out the exchange waits for */
+	uint32_t uncredited; /* answer bytes in out that the exchange has no credit for yet */
 	bool ready_only;
 	bool eof;
 	bool closing; /* close once out is empty */
-	bool keep; /* the request allows another */
+	bool keep; /* the connection stays open after the request */
 	bool is_head;
 	bool chunked_answer;
 	bool http10;
-	bool answered; /* the answer to the request under way is complete */
-	bool reset_on_close; /* reset when it is closed: the answer would look whole */
+	bool answered; /* the answer to the current request is complete */
+	/* reset the connection on close, as the truncated answer would look complete */
+	bool reset_on_close;
 	bool closed;
 	bool body_done;
-	bool starting; /* the exchange is being given its first bytes */
+	bool starting; /* the exchange is receiving the first bytes of the body */
 	struct lw_caller *prev;
 	struct lw_caller *next;
 } lw_caller_t;
--- a/src/callerread.c
+++ b/src/callerread.c
@@ -1,14 +1,16 @@
-/* Reading requests of callers, strictly one after the other. */
+/*
+ * Reads the requests of callers, strictly one after the other.
+ */
 #include "caller_int.h"
 
 #include <errno.h>
 #include <string.h>
 #include <sys/socket.h>
 
-/* read at once; a request of the usual size comes with one system call */
+/* bytes per read; one system call reads a request of the usual size */
 #define READ_BYTES 16384
 
-/* lw_caller_reject() - a request that cannot be taken: answer and close */
+/* lw_caller_reject() - answer a request that cannot be accepted, then close the connection. */
 void lw_caller_reject(lw_caller_t *c, uint32_t status, const char *why)
 {
 	c->keep = false;
@@ -57,7 +59,7 @@
 	}
 }
 
-/* the request is complete: tell the exchange, wait for its answer */
+/* the request is complete: notify the exchange and wait for its answer */
 static void body_complete(lw_caller_t *c)
 {
 	c->state = CALLER_WAIT;
@@ -67,7 +69,7 @@
 		next_request(c);
 }
 
-/* false: more bytes are needed or the connection is done */
+/* returns false if more bytes are needed or the connection is finished */
 static bool read_body(lw_caller_t *c)
 {
 	size_t len = lw_bytebuf_len(&c->in);
@@ -148,14 +150,14 @@
 	c->starting = false;
 }
 
-/* empty lines before a request are left out (RFC 9112, 2.2) */
+/* skips empty lines before a request (RFC 9112, 2.2) */
 static void skip_empty_lines(lw_caller_t *c)
 {
 	while (lw_bytebuf_len(&c->in) >= 2 && memcmp(lw_bytebuf_head(&c->in), "\r\n", 2) == 0)
 		lw_bytebuf_consume(&c->in, 2);
 }
 
-/* false: the head is not complete or the connection is done */
+/* returns false if the head is incomplete or the connection is finished */
 static bool read_head(lw_caller_t *c)
 {
 	static lw_httphead_t head;
@@ -193,7 +195,7 @@
 	return !c->closed;
 }
 
-/* lw_caller_process() - act on what has been read */
+/* lw_caller_process() - process the data read so far. */
 void lw_caller_process(lw_caller_t *c)
 {
 	bool more = true;
@@ -219,8 +221,8 @@
 }
 
 /*
- * lw_caller_readable() - All that has arrived is read before it is acted on: a caller that sent a
- * request and left meanwhile is noticed before its request starts.
+ * lw_caller_readable() - read all data that has arrived before processing any of it, so that a
+ * caller that sent a request and has disconnected since is noticed before its request starts.
  */
 void lw_caller_readable(lw_caller_t *c)
 {
--- a/src/httphead.c
+++ b/src/httphead.c
@@ -1,14 +1,16 @@
-/* Heads of HTTP/1.1 messages; see httphead.h. */
+/*
+ * Parses and forwards heads of HTTP/1.1 messages; see httphead.h.
+ */
 #include "httphead.h"
 
 #include <stdio.h>
 #include <string.h>
 #include <strings.h>
 
-/* longest chunk-size line or Keep-Alive value this module formats, in bytes */
+/* longest header line formatted by this module, in bytes */
 #define LINE_MAX_BYTES 64
 
-/* headers that concern one connection only (RFC 9110, 7.6.1) */
+/* hop-by-hop headers (RFC 9110, 7.6.1) */
 static const char *const hop_names[] = {
 	"Connection",
 	"Keep-Alive",
@@ -22,7 +24,7 @@
 	"Expect",
 };
 
-/* what one pass of http-parser over a head collects */
+/* results of one http-parser pass over a head */
 struct collect {
 	lw_httphead_t *head;
 	const lw_wirenames_t *names;
@@ -72,8 +74,8 @@
 };
 
 /*
- * lw_httphead_end() - length of the head at the start of @data, its empty
- * line included; 0 if the empty line is not there yet.
+ * lw_httphead_end() - length of the head at the start of @data, including its empty line; 0 if the
+ * empty line has not arrived yet.
  */
 size_t lw_httphead_end(const char *data, size_t len)
 {
@@ -83,9 +85,8 @@
 }
 
 /*
- * A bare CR or LF, a folded line or a NUL is read differently by different
- * parsers, so that one request could hide inside another. http-parser lets
- * some of them pass.
+ * Rejects bare CR or LF, folded lines and NUL bytes. Parsers interpret these differently, so that
+ * one request could be hidden inside another, and http-parser accepts some of them.
  */
 static bool lines_strict(lw_str_t block)
 {
@@ -106,8 +107,8 @@
 }
 
 /*
- * http-parser takes a space before the colon for a part of the name; a server
- * that trims it would see a header that was not checked here.
+ * Rejects header names that contain whitespace. http-parser treats a space before the colon as
+ * part of the name; a server that trims it would see a header that was not checked here.
  */
 static bool names_strict(const lw_httphead_t *h)
 {
@@ -137,7 +138,7 @@
 	return false;
 }
 
-/* the headers a Connection header lists concern this connection too */
+/* headers listed in a Connection header are hop-by-hop too */
 static void mark_listed(lw_httphead_t *h, lw_str_t list)
 {
 	while (list.len) {
@@ -217,8 +218,8 @@
 }
 
 /*
- * The first line exactly as RFC 9112 has it. http-parser skips empty lines and
- * odd bytes before it, so that what it parsed and what is sent on would differ.
+ * Checks that the first line conforms to RFC 9112. http-parser skips empty lines and invalid bytes
+ * before it, so the parsed line and the forwarded one could differ.
  */
 static bool start_line(lw_httphead_t *h, lw_str_t block, bool request)
 {
@@ -243,9 +244,8 @@
 }
 
 /*
- * lw_httphead_parse() - parse the head in @block, which ends with its empty
- * line. @parser is initialised by the caller and goes on with the body. On
- * success @h points into @block.
+ * lw_httphead_parse() - parse the head in @block, which ends with its empty line. @parser is
+ * initialised by the caller and is used for the body afterwards. On success @h points into @block.
  */
 lw_httphead_error_t lw_httphead_parse(lw_httphead_t *h, http_parser *parser,
 				      const lw_wirenames_t *names, lw_str_t block)
@@ -280,7 +280,9 @@
 	return LW_HTTPHEAD_OK;
 }
 
-/* lw_httphead_find() - the value of the header that means @meaning; ptr NULL if none. */
+/*
+ * lw_httphead_find() - value of the first header with @meaning; its ptr is NULL if there is none.
+ */
 lw_str_t lw_httphead_find(const lw_httphead_t *h, lw_header_t meaning)
 {
 	for (size_t i = 0; i < h->nfields; i++)
@@ -289,7 +291,7 @@
 	return (lw_str_t){ NULL, 0 };
 }
 
-/* lw_httphead_notice() - what the backend server announces of itself in an answer. */
+/* lw_httphead_notice() - the backend server's self-announcement in an answer. */
 lw_notice_said_t lw_httphead_notice(const lw_httphead_t *h)
 {
 	lw_notice_said_t said = { 0 };
@@ -311,10 +313,10 @@
 }
 
 /*
- * lw_httphead_forward() - append the start line and the end-to-end headers,
- * each with CRLF, without the empty line. Left out: what concerns one
- * connection only, the body's framing, and the headers every node sets anew;
- * with @drop_identity also the key and what the sender says of its organisation.
+ * lw_httphead_forward() - append the start line and the end-to-end headers, each with CRLF,
+ * without the empty line. Hop-by-hop headers, the body framing and the headers that every node
+ * sets itself are omitted; with @drop_identity also the API key and the sender's organisation
+ * header.
  */
 void lw_httphead_forward(const lw_httphead_t *h, bool drop_identity, lw_bytebuf_t *out)
 {
@@ -335,8 +337,8 @@
 }
 
 /*
- * lw_httphead_framing() - append the header that frames a body of
- * @body_length bytes (-1: chunked). @may_omit: an absent body needs none.
+ * lw_httphead_framing() - append the header that frames a body of @body_length bytes (-1:
+ * chunked). @may_omit: no header for an empty body.
  */
 void lw_httphead_framing(lw_bytebuf_t *out, int64_t body_length, bool may_omit)
 {
--- a/src/httphead.h
+++ b/src/httphead.h
@@ -1,7 +1,6 @@
 /*
- * The head of one HTTP/1.1 request or response: parsed by http-parser, with
- * the stricter checks that request smuggling calls for, and written out again
- * without the headers that concern one connection only.
+ * The head of one HTTP/1.1 request or response: parsed by http-parser, with additional strict
+ * checks against request smuggling, and written again without the hop-by-hop headers.
  */
 #ifndef LW_HTTPHEAD_H
 #define LW_HTTPHEAD_H
@@ -28,10 +27,10 @@
 	lw_str_t name;
 	lw_str_t value;
 	lw_header_t meaning;
-	bool hop; /* concerns this connection only */
+	bool hop; /* hop-by-hop header */
 } lw_httpfield_t;
 
-/* Points into the block that was parsed; valid as long as the block is. */
+/* A parsed head. Its strings point into the parsed block and are valid as long as the block is. */
 typedef struct lw_httphead {
 	lw_str_t start; /* the first line, without CRLF */
 	lw_str_t method;
@@ -41,7 +40,7 @@
 	int64_t body_length; /* 0: none; -1: chunked; -2: ends with the connection */
 	bool keep_alive;
 	bool expect_continue;
-	uint32_t keep_alive_s; /* the other side's announced idle limit; 0: none */
+	uint32_t keep_alive_s; /* idle timeout announced by the other side; 0: none */
 	lw_httpfield_t fields[LW_HTTP_HEADERS_MAX];
 	size_t nfields;
 } lw_httphead_t;
--- a/src/probe.c
+++ b/src/probe.c
@@ -4,9 +4,9 @@
 #include <stdio.h>
 #include <string.h>
 
-/* a check without an answer is given up, us; the next one begins anew */
+/* a check without an answer is abandoned after this, us; the next check then starts from scratch */
 #define ANSWER_TIMEOUT_US 450000
-/* the path if the configuration names none */
+/* path used if the configuration names none */
 #define PATH_DEFAULT "/health"
 
 static void on_written(void *user, size_t bytes)
@@ -16,9 +16,8 @@
 }
 
 /*
- * A check that was turned away unrun says nothing: the server is busy. Any
- * other answer than 200, or the id of another server, means that this one is
- * not to be used.
+ * A check that was rejected before execution has no result, as the server is only busy. Any status
+ * other than 200, or the id of another server, means that this server must not be used.
  */
 static bool on_head(void *user, const lw_httphead_t *h)
 {
@@ -60,7 +59,9 @@
 
 	(void)sent;
 	p->conn = NULL;
-	/* a connection that was taken and reset says that the server has too many */
+	/*
+	 * an accepted connection that is reset only means that the server has too many connections
+	 */
 	if (refused)
 		p->leaving = true;
 }
@@ -73,7 +74,7 @@
 	.broken = on_broken,
 };
 
-/* lw_probe_init() - nothing is known of the server. */
+/* lw_probe_init() - initialise; nothing is known about the server yet. */
 void lw_probe_init(lw_probe_t *p, lw_hub_t *hub)
 {
 	memset(p, 0, sizeof(*p));
@@ -87,7 +88,7 @@
 	p->conn = NULL;
 }
 
-/* lw_probe_reset() - forget what was learned; from now on @server_id must answer. */
+/* lw_probe_reset() - discard all results; from now on @server_id is expected to answer. */
 void lw_probe_reset(lw_probe_t *p, const char *server_id)
 {
 	abort_check(p);
@@ -96,7 +97,7 @@
 	lw_str_copy(p->server_id, sizeof(p->server_id), lw_str_c(server_id));
 }
 
-/* lw_probe_check() - ask the server for its health at @path, unless it is being asked. */
+/* lw_probe_check() - start a health check at @path, unless one is in progress. */
 void lw_probe_check(lw_probe_t *p, const char *path)
 {
 	char head[2 * LW_NAME_MAX + 64];
--- a/src/probe.h
+++ b/src/probe.h
@@ -1,7 +1,7 @@
 /*
- * Health checks of the backend server on this host. They cost it a place, so
- * they are made only while its entry is missing: to tell a server whose lease
- * lapsed from one that left.
+ * Health checks of the backend server on this host. As each check occupies one of the server's
+ * slots, checks are made only while its registration is missing, to distinguish a server whose
+ * lease expired from one that is leaving.
  */
 #ifndef LW_PROBE_H
 #define LW_PROBE_H
@@ -15,12 +15,12 @@
 
 typedef struct lw_probe {
 	lw_hub_t *hub;
-	lw_bconn_t *conn; /* of the check under way; NULL: none is */
+	lw_bconn_t *conn; /* connection of the check in progress; NULL: none */
 	uint64_t began_us;
-	char server_id[LW_NAME_MAX]; /* that must answer */
-	uint64_t healthy_us; /* it last said that it is healthy; 0: it did not */
-	bool leaving; /* it said otherwise, is another one, or takes no connection */
-	/* it announced this of itself; may be NULL */
+	char server_id[LW_NAME_MAX]; /* id of the server that is expected to answer */
+	uint64_t healthy_us; /* when it last reported itself healthy; 0: never */
+	bool leaving; /* it reported itself unhealthy, has another id, or refused the connection */
+	/* called with the self-announcement in the answer; may be NULL */
 	void (*on_notice)(void *ctx, const lw_notice_said_t *said, uint64_t sent_us);
 	void *on_notice_ctx;
 } lw_probe_t;
