--- a/src/answer.h
+++ b/src/answer.h
@@ -1,6 +1,6 @@
 /*
- * A backend server's whole answer, shared by reference: by the caller that
- * waits for it and by the reducer's records, which replay it.
+ * A complete answer of a backend server with a reference count. It is shared by the caller that
+ * waits for it and the records of the reducer, which replay it.
  */
 #ifndef LW_ANSWER_H
 #define LW_ANSWER_H
@@ -13,7 +13,7 @@
 	int status; /* HTTP status of the backend server */
 	char *body;
 	size_t len;
-	uint32_t retries_used; /* by the calls the backend server made */
+	uint32_t retries_used; /* retries used by nested calls */
 } lw_answer_t;
 
 lw_answer_t *lw_answer_new(int refs, int status, char *body, size_t len, uint32_t retries_used);
--- a/src/backend.c
+++ b/src/backend.c
@@ -15,7 +15,7 @@
 
 typedef struct job {
 	uint64_t id;
-	lw_request_t rq; /* a copy of its own: the caller may leave first */
+	lw_request_t rq; /* a private copy, as the caller may return first */
 	uint32_t retry_budget;
 	uint64_t deadline_at;
 	struct job *next;
@@ -27,7 +27,7 @@
 	pthread_mutex_t lock;
 	pthread_cond_t more;
 	job_t *head, **tail;
-	bool down; /* the last connect failed: log the change only */
+	bool down; /* the last connect failed; only changes are logged */
 	lw_backend_done_fn done;
 	void *ctx;
 };
@@ -142,9 +142,9 @@
 }
 
 /*
- * lw_backend_new() - the backend server at "ip:port" @addr, called by at
- * most @workers_max threads at once; @done is called with each result, from
- * a worker thread. It lives as long as the process.
+ * lw_backend_new() - create a client of the backend server at "ip:port" @addr, which at most
+ * @workers_max threads call at once. @done is called with each result, from a worker thread. The
+ * client lives as long as the process.
  */
 lw_backend_t *lw_backend_new(const char *addr, uint32_t workers_max, lw_backend_done_fn done,
 			     void *ctx)
@@ -162,9 +162,9 @@
 }
 
 /*
- * lw_backend_run() - run request @rq, known as @id, on the backend server.
- * @retry_budget: retries left for the calls it makes; told in a header.
- * @deadline_at_ms: monotonic; the backend server is told what is left.
+ * lw_backend_run() - execute request @rq on the backend server and report the result under @id.
+ * @retry_budget: retries left for the request's nested calls, passed in a header.
+ * @deadline_at_ms: monotonic time; the remaining time is passed in a header.
  */
 void lw_backend_run(lw_backend_t *b, uint64_t id, const lw_request_t *rq, uint32_t retry_budget,
 		    uint64_t deadline_at_ms)
--- a/src/backend.h
+++ b/src/backend.h
@@ -1,8 +1,7 @@
 /*
- * The local backend server: HTTP calls to it by a bounded set of worker
- * threads, each with its own persistent connection. The caller's thread
- * does not wait on the socket, so a hanging backend server cannot hold a
- * caller past its deadline.
+ * HTTP calls to the local backend server by a bounded set of worker threads, each with its own
+ * persistent connection. The caller's thread does not wait on the socket, so a hanging backend
+ * server cannot block a caller past its deadline.
  */
 #ifndef LW_BACKEND_H
 #define LW_BACKEND_H
@@ -16,7 +15,7 @@
 
 typedef struct lw_backend lw_backend_t;
 
-/* the result of a run; @answer is set (with one reference) when done */
+/* Result of a call; @answer is set (with one reference) if the outcome is LW_DONE. */
 typedef struct lw_backend_result {
 	lw_outcome_t outcome;
 	lw_reason_t reason;
--- a/src/httpc.c
+++ b/src/httpc.c
@@ -1,4 +1,6 @@
-/* HTTP client over neon; see httpc.h. */
+/*
+ * HTTP client based on neon; see httpc.h.
+ */
 #include "httpc.h"
 
 #include <ne_request.h>
@@ -18,7 +20,7 @@
 struct lw_httpc {
 	ne_session *sess;
 	int read_timeout_s;
-	const char *captured_name; /* header to be copied from each answer; may be NULL */
+	const char *captured_name; /* header to copy from each answer; may be NULL */
 };
 
 static pthread_once_t neon_once = PTHREAD_ONCE_INIT;
@@ -28,7 +30,7 @@
 	ne_sock_init();
 }
 
-/* lw_httpc_new() - a client of the server at "ip:port" @addr; NULL if malformed. */
+/* lw_httpc_new() - create a client of the server at "ip:port" @addr; NULL if @addr is malformed. */
 lw_httpc_t *lw_httpc_new(const char *addr)
 {
 	char host[LW_NAME_MAX];
@@ -45,7 +47,7 @@
 	return c;
 }
 
-/* lw_httpc_free() - close the connection; NULL is fine. */
+/* lw_httpc_free() - close the connection; @c may be NULL. */
 void lw_httpc_free(lw_httpc_t *c)
 {
 	if (!c)
@@ -79,19 +81,22 @@
 	return v ? (unsigned)strtoul(v, NULL, 10) : 0;
 }
 
-/* lw_httpc_want() - copy @header, which must stay, from each answer from now on. */
+/*
+ * lw_httpc_capture_header() - copy @header from each answer from now on. @header is not copied and
+ * must stay valid.
+ */
 void lw_httpc_capture_header(lw_httpc_t *c, const char *header)
 {
 	c->captured_name = header;
 }
 
 /*
- * lw_httpc_call() - send one request and read the whole answer into @out.
- * @timeout_ms: how long to wait for the answer; neon counts whole seconds,
- *	so this rounds up and the server is told the exact deadline in a header.
- * @idempotent: false stops neon from resending on a dropped keep-alive
- *	connection, which could run a registration twice.
- * On failure @out->fail says whether the server can have seen the request.
+ * lw_httpc_call() - send one request and read the complete answer into @out.
+ * @timeout_ms: how long to wait for the answer. neon counts whole seconds, so the value is rounded
+ * up; the server receives the exact deadline in a header.
+ * @idempotent: false prevents neon from resending the request when a keep-alive connection was
+ * dropped, which could execute a registration twice.
+ * On failure @out->fail says whether the server can have received the request.
  */
 void lw_httpc_call(lw_httpc_t *c, const char *method, const char *path, const lw_http_hdr_t *hdrs,
 		   size_t nhdr, lw_str_t body, int timeout_ms, bool idempotent,
@@ -137,9 +142,9 @@
 }
 
 /*
- * lw_httpc_command() - send one request for a command-line client called
- * @prog and print the answer's body. Returns the exit status: 0, 1 when the
- * server is not there or refuses, 2 when @addr is malformed.
+ * lw_httpc_command() - send one request for the command-line client @prog and print the body of
+ * the answer. Returns the exit status: 0 on success, 1 if the server is unreachable or rejects the
+ * request, 2 if @addr is malformed.
  */
 int lw_httpc_command(const char *prog, const char *addr, const char *method, const char *path,
 		     lw_str_t body)
--- a/src/httpc.h
+++ b/src/httpc.h
@@ -1,6 +1,6 @@
 /*
- * An HTTP/1.1 client over neon. One lw_httpc_t is one persistent
- * connection to one server; use it from one thread at a time.
+ * HTTP/1.1 client based on neon. Each lw_httpc_t is one persistent connection to one server and
+ * must be used by one thread at a time.
  */
 #ifndef LW_HTTPC_H
 #define LW_HTTPC_H
@@ -15,7 +15,7 @@
 
 typedef enum lw_httpc_fail {
 	LW_HTTPC_OK = 0,
-	LW_HTTPC_CONNECT, /* never connected: the server cannot have the request */
+	LW_HTTPC_CONNECT, /* not connected: the server cannot have received the request */
 	LW_HTTPC_TIMEOUT, /* sent, no answer in time */
 	LW_HTTPC_BROKEN, /* failed after sending began */
 } lw_httpc_fail_t;
@@ -23,12 +23,12 @@
 typedef struct lw_http_reply {
 	lw_httpc_fail_t fail;
 	int status;
-	char *body; /* heap; free it */
+	char *body; /* allocated; the caller frees it */
 	size_t len;
 	char outcome[16];
 	char reason[24];
 	char index[24];
-	char captured[24]; /* the header named with lw_httpc_want() */
+	char captured[24]; /* value of the header named with lw_httpc_capture_header() */
 	unsigned retry_after_ms;
 	unsigned retries_used;
 	bool no_retry;
--- a/src/httpd.c
+++ b/src/httpd.c
@@ -1,4 +1,6 @@
-/* HTTP server over libmicrohttpd; see httpd.h. */
+/*
+ * HTTP server based on libmicrohttpd; see httpd.h.
+ */
 #include "httpd.h"
 
 #include <microhttpd.h>
@@ -20,8 +22,8 @@
 	lw_http_handler_fn fn;
 	void *ctx;
 	int fd;
-	int active; /* requests begun whose answer is not sent yet */
-	uint64_t last_ms; /* when the last request began */
+	int active; /* requests that have started and are not answered completely */
+	uint64_t last_ms; /* when the last request started */
 };
 
 typedef struct upload {
@@ -100,8 +102,8 @@
 }
 
 /*
- * lw_httpd_start() - serve HTTP on "ip:port" @addr, calling @fn for each
- * whole request. LW_ERR_IO when the address cannot be bound.
+ * lw_httpd_start() - serve HTTP on "ip:port" @addr and call @fn for each complete request. Returns
+ * LW_ERR_IO if the address cannot be bound.
  */
 lw_status_t lw_httpd_start(const char *addr, lw_http_handler_fn fn, void *ctx, lw_httpd_t **out)
 {
@@ -130,7 +132,7 @@
 	return LW_OK;
 }
 
-/* lw_httpd_stop() - stop serving; handlers in progress are finished first. */
+/* lw_httpd_stop() - stop serving, after handlers in progress have finished; @h may be NULL. */
 void lw_httpd_stop(lw_httpd_t *h)
 {
 	if (!h)
@@ -140,31 +142,31 @@
 	free(h);
 }
 
-/* lw_httpd_active() - requests begun whose answer is not sent yet. */
+/* lw_httpd_active() - number of requests that have started and are not answered completely. */
 int lw_httpd_active(const lw_httpd_t *h)
 {
 	return __atomic_load_n(&h->active, __ATOMIC_ACQUIRE);
 }
 
-/* lw_httpd_last_ms() - monotonic time at which the last request began. */
+/* lw_httpd_last_ms() - monotonic time at which the last request started. */
 uint64_t lw_httpd_last_ms(const lw_httpd_t *h)
 {
 	return __atomic_load_n(&h->last_ms, __ATOMIC_RELAXED);
 }
 
-/* lw_http_header() - the request header @name, or NULL. */
+/* lw_http_header() - value of the request header @name, or NULL. */
 const char *lw_http_header(const lw_http_req_t *req, const char *name)
 {
 	return MHD_lookup_connection_value(req->conn, MHD_HEADER_KIND, name);
 }
 
-/* lw_http_arg() - the query argument @name, or NULL. */
+/* lw_http_arg() - value of the query argument @name, or NULL. */
 const char *lw_http_arg(const lw_http_req_t *req, const char *name)
 {
 	return MHD_lookup_connection_value(req->conn, MHD_GET_ARGUMENT_KIND, name);
 }
 
-/* lw_http_set_header() - add a response header; at most 8 are kept. */
+/* lw_http_set_header() - add a response header; only the first 8 are kept. */
 void lw_http_set_header(lw_http_resp_t *resp, const char *name, const char *fmt, ...)
 {
 	va_list ap;
@@ -178,7 +180,7 @@
 	resp->nhdr++;
 }
 
-/* lw_http_reply() - set status and a copy of @body. */
+/* lw_http_reply() - set the status and a copy of @body. */
 void lw_http_reply(lw_http_resp_t *resp, int status, const char *body, size_t len)
 {
 	resp->status = status;
@@ -187,7 +189,7 @@
 	resp->len = len;
 }
 
-/* lw_http_replyf() - set status and a formatted body. */
+/* lw_http_replyf() - set the status and a formatted body. */
 void lw_http_replyf(lw_http_resp_t *resp, int status, const char *fmt, ...)
 {
 	va_list ap;
--- a/src/httpd.h
+++ b/src/httpd.h
@@ -1,6 +1,6 @@
 /*
- * A small HTTP/1.1 server over libmicrohttpd, one thread per connection,
- * so handlers may block on the work they forward.
+ * Small HTTP/1.1 server based on libmicrohttpd, with one thread per connection, so that handlers
+ * may block while they forward requests.
  */
 #ifndef LW_HTTPD_H
 #define LW_HTTPD_H
@@ -23,12 +23,12 @@
 
 typedef struct lw_http_resp {
 	int status;
-	char *body; /* heap, owned by the response */
+	char *body; /* allocated; owned by the response */
 	size_t len;
 	const char *ctype;
 	char hdr[LW_HTTP_HDRS_MAX][2][64];
 	int nhdr;
-	bool drop; /* close the connection without an answer (stand-ins) */
+	bool drop; /* close the connection without an answer (used by the stub servers) */
 } lw_http_resp_t;
 
 typedef void (*lw_http_handler_fn)(void *ctx, const lw_http_req_t *req, lw_http_resp_t *resp);
--- a/src/pool.c
+++ b/src/pool.c
@@ -39,7 +39,7 @@
 	uint64_t next_query;
 };
 
-/* lw_pool_new() - an empty pool. */
+/* lw_pool_new() - create an empty pool. */
 lw_pool_t *lw_pool_new(void)
 {
 	lw_pool_t *p = xcalloc(1, sizeof(*p));
@@ -75,7 +75,7 @@
 	pthread_mutex_lock(&p->lock);
 	peer_conns_t *pc = conns_of(p, addr, false);
 
-	/* the last used one: the least likely to have gone silent */
+	/* the most recently used connection is the least likely to have gone silent */
 	while (fd < 0 && pc && pc->nidle) {
 		fd = pc->idle[--pc->nidle].fd;
 		if (lw_sock_stale(fd)) {
@@ -101,7 +101,7 @@
 		close(fd);
 }
 
-/* one connection to @addr went silent: the idle ones may have too */
+/* a connection to @addr went silent, so the idle ones may be dead too */
 static void drop_idle(lw_pool_t *p, const char *addr)
 {
 	unsigned dropped = 1;
@@ -131,7 +131,10 @@
 	lw_sock_abort(*fd);
 	if (fresh)
 		return LW_POOL_WRITE;
-	/* a pooled connection that the peer closed while idle: once anew */
+	/*
+	 * the peer had closed the pooled connection while it was idle: retry once on a new
+	 * connection
+	 */
 	if (lw_sock_connect(addr, POOL_CONNECT_MS, fd))
 		return LW_POOL_CONNECT;
 	if (!lw_frame_write(*fd, req))
@@ -146,10 +149,10 @@
 }
 
 /*
- * lw_pool_ask() - one request and its answer, for frames other than calls
- * (queries, heartbeats, configuration). @fresh asks for a new connection;
- * else an idle one is tried first, which finds out whether it went silent.
- * False when no answer came within @timeout_ms.
+ * lw_pool_request() - send one request and wait for its reply, for frames other than calls
+ * (queries, heartbeats, configuration). @fresh requires a new connection; otherwise an idle
+ * connection is tried first, which detects whether it went silent. Returns false if no reply
+ * arrives within @timeout_ms.
  */
 bool lw_pool_request(lw_pool_t *p, const char *addr, const Lw__Frame *req, int timeout_ms,
 		     bool fresh, Lw__Frame **reply)
@@ -177,7 +180,7 @@
 	return true;
 }
 
-/* the state of the attempt in @req at the peer; NONE when it cannot be told */
+/* queries the state of the attempt @req at the peer; RECORD_NONE if it is unknown */
 static Lw__RecordState query(lw_pool_t *p, const lw_pool_call_t *call, const Lw__Frame *req,
 			     Lw__Frame **record)
 {
@@ -223,9 +226,9 @@
 }
 
 /*
- * Ask what became of a silent attempt. True settles the call with *@verdict.
- * "Never received" counts only from a process that was there before the
- * request was sent: a restarted one has forgotten what its predecessor ran.
+ * Queries the peer for the state of a silent attempt. Returns true if that settles the call with
+ * *@verdict. "Never received" is only accepted from a process that already existed before the
+ * request was sent: a restarted process has no record of what its predecessor executed.
  */
 static bool settled_by_query(lw_pool_t *p, const lw_pool_call_t *call, const Lw__Frame *req,
 			     Lw__Frame **reply, lw_pool_fail_t *verdict)
@@ -254,13 +257,13 @@
 	if ((*reply)->body_case == LW__FRAME__BODY_REPLY &&
 	    (*reply)->reply->request_id == req->request->request_id)
 		return LW_POOL_OK;
-	/* a crossed reply: never hand it on, and never reuse this connection */
+	/* the reply belongs to another request: discard it, and do not reuse this connection */
 	lw_frame_free(*reply);
 	*reply = NULL;
 	return LW_POOL_BROKEN;
 }
 
-/* wait on @fd (or, once it broke, without it) until the call is settled */
+/* waits until the call is settled, on @fd or, after the connection broke, by queries only */
 static lw_pool_fail_t await_reply(lw_pool_t *p, const lw_pool_call_t *call, const Lw__Frame *req,
 				  int *fd, Lw__Frame **reply)
 {
@@ -299,10 +302,9 @@
 }
 
 /*
- * lw_pool_call() - send the request frame @req and wait for the reply with
- * its request id. The result says whether the peer can have received the
- * request (see lw_pool_fail_t); *@reply is set on LW_POOL_OK and freed by
- * the caller with lw_frame_free().
+ * lw_pool_call() - send the request frame @req and wait for the reply with its request id. The
+ * result says whether the peer can have received the request (see lw_pool_fail_t). On LW_POOL_OK,
+ * *@reply is set and must be freed with lw_frame_free().
  */
 lw_pool_fail_t lw_pool_call(lw_pool_t *p, const lw_pool_call_t *call, const Lw__Frame *req,
 			    Lw__Frame **reply)
@@ -324,7 +326,7 @@
 	return fail;
 }
 
-/* lw_pool_trim() - close what has been idle for @idle_ms; 0 closes all. */
+/* lw_pool_trim() - close connections that have been idle for @idle_ms; 0 closes all. */
 void lw_pool_trim(lw_pool_t *p, uint32_t idle_ms)
 {
 	uint64_t now = lw_now_ms();
@@ -350,7 +352,7 @@
 	pthread_mutex_unlock(&p->lock);
 }
 
-/* lw_pool_idle_count() - idle connections held, all peers together. */
+/* lw_pool_idle_count() - number of idle connections to all peers. */
 size_t lw_pool_idle_count(lw_pool_t *p)
 {
 	size_t n = 0;
@@ -362,13 +364,13 @@
 	return n;
 }
 
-/* lw_pool_silent_replaced() - how many silent connections were closed. */
+/* lw_pool_silent_replaced() - number of silent connections that were closed. */
 unsigned lw_pool_silent_replaced(const lw_pool_t *p)
 {
 	return __atomic_load_n(&p->silent_replaced, __ATOMIC_RELAXED);
 }
 
-/* lw_pool_queries() - how many attempts were asked after. */
+/* lw_pool_queries() - number of Query frames sent. */
 unsigned lw_pool_queries(const lw_pool_t *p)
 {
 	return __atomic_load_n(&p->queries, __ATOMIC_RELAXED);
--- a/src/pool.h
+++ b/src/pool.h
@@ -1,12 +1,12 @@
 /*
- * Connections to peer nodes: pooled TCP, one request at a time on each, and
- * the calls made over them.
+ * Connections to peer nodes: pooled TCP connections with one request at a time on each, and the
+ * calls made over them.
  *
- * A connection can go silent for good while new ones work, when something
- * between the two ends has lost track of it. A caller that hears nothing for
- * a while therefore asks the peer, on a new connection, what became of its
- * attempt (a Query frame). A peer that never received it bars it, which
- * turns "unknown" into "not run"; one that finished it hands over the answer.
+ * A connection can go silent permanently while new ones work, if a device between the two ends has
+ * lost its state. A caller that receives nothing for a while therefore asks the peer, on a new
+ * connection, for the state of its attempt (a Query frame). A peer that never received the attempt
+ * refuses it from then on, which turns "unknown" into "not run"; a peer that completed it returns
+ * the answer.
  */
 #ifndef LW_POOL_H
 #define LW_POOL_H
@@ -18,21 +18,21 @@
 
 typedef enum lw_pool_fail {
 	LW_POOL_OK = 0,
-	LW_POOL_CONNECT, /* no connection: the peer cannot have the request */
-	LW_POOL_WRITE, /* the frame was not handed whole to the kernel */
-	LW_POOL_NOT_RECEIVED, /* the peer never got it and refuses it from now on */
+	LW_POOL_CONNECT, /* no connection: the peer cannot have received the request */
+	LW_POOL_WRITE, /* the frame was not passed to the kernel completely */
+	LW_POOL_NOT_RECEIVED, /* the peer never received it and refuses it from now on */
 	LW_POOL_TIMEOUT, /* sent, no reply in time */
-	LW_POOL_BROKEN, /* sent, then the connection closed or garbled */
+	LW_POOL_BROKEN, /* sent, then the connection closed or the reply was invalid */
 } lw_pool_fail_t;
 
 typedef struct lw_pool lw_pool_t;
 
-/* what lw_pool_call() needs besides the request */
+/* Parameters of lw_pool_call() besides the request. */
 typedef struct lw_pool_call {
 	const char *addr; /* the peer, "ip:port" */
 	int timeout_ms; /* for the whole call */
-	int probe_ms; /* silent for so long: ask; 0 never asks */
-	uint64_t incarnation; /* the peer's, heard before the call; 0 unknown */
+	int probe_ms; /* send a query after this time without a reply; 0: never */
+	uint64_t incarnation; /* incarnation of the peer received before the call; 0: unknown */
 } lw_pool_call_t;
 
 lw_pool_t *lw_pool_new(void);
--- a/src/request.c
+++ b/src/request.c
@@ -1,4 +1,6 @@
-/* Requests from HTTP and frames; see request.h. */
+/*
+ * Reads requests from HTTP and from frames; see request.h.
+ */
 #include "request.h"
 
 #include <errno.h>
@@ -16,9 +18,9 @@
 }
 
 /*
- * lw_request_idem_key() - the record key of an idempotency key. The route is
- * part of it: the same key on two routes names two requests, and replaying
- * one's answer to the other would hand a caller somebody else's answer.
+ * lw_request_idem_key() - the record key of an idempotency key. It includes the route: the same
+ * key on two routes belongs to two different requests, and replaying the answer of one to the
+ * other would give a caller somebody else's answer.
  */
 lw_key_t lw_request_idem_key(const char *route, const char *idem_key)
 {
@@ -40,7 +42,7 @@
 	return key_of(both, sizeof(both), 2);
 }
 
-/* too long a value is refused: cut short, two of them could become one */
+/* a value that is too long is rejected, as two values could become equal if truncated */
 static lw_status_t copy_value(char *dst, size_t len, const char *src, const char *what)
 {
 	if (strlen(src ? src : "") >= len)
@@ -72,15 +74,14 @@
 	const lw_route_t *r = lw_platconf_route(pc, lw_str_c(rq->route));
 
 	rq->cls = r ? r->cls : LW_CLASS_DEFAULT;
-	/* an unlisted route may be one that must not run twice */
+	/* a route that is not configured may not be safe to execute twice */
 	rq->idempotent = r ? r->idempotent : false;
 }
 
 /*
- * lw_request_from_http() - read @req as a request for @route ("service/name").
- * Headers, all optional: X-LW-Deadline-Ms, X-LW-Retry-Budget,
- * X-LW-Idempotency-Key, X-LW-Repeat, X-LW-Request-Id, X-LW-Parent.
- * LW_ERR_PROTO names the header that cannot be read.
+ * lw_request_from_http() - convert @req into a request for @route ("service/name"). Optional
+ * headers: X-LW-Deadline-Ms, X-LW-Retry-Budget, X-LW-Idempotency-Key, X-LW-Repeat,
+ * X-LW-Request-Id, X-LW-Parent. The error message of LW_ERR_PROTO names the invalid header.
  */
 lw_status_t lw_request_from_http(const lw_http_req_t *req, const char *route,
 				 const lw_platconf_t *pc, lw_request_t *rq)
@@ -111,8 +112,8 @@
 }
 
 /*
- * lw_request_from_frame() - read @f, a peer's request. The class is the
- * sender's; whether it is idempotent follows from this node's configuration.
+ * lw_request_from_frame() - convert @f, a request from a peer. The class is taken from the sender;
+ * whether the request is idempotent depends on this node's configuration.
  */
 lw_status_t lw_request_from_frame(const Lw__Request *f, const lw_platconf_t *pc, lw_request_t *rq)
 {
--- a/src/request.h
+++ b/src/request.h
@@ -1,6 +1,6 @@
 /*
- * One request as the node handles it, whether it came over HTTP from a
- * caller or the local backend server, or in a frame from a peer.
+ * A request as the node handles it, received over HTTP from a caller or the local backend server,
+ * or in a frame from a peer.
  */
 #ifndef LW_REQUEST_H
 #define LW_REQUEST_H
@@ -25,14 +25,14 @@
 	char route[LW_ROUTE_MAX];
 	lw_class_t cls;
 	bool idempotent;
-	bool repeat; /* an earlier attempt with this key ended unknown */
-	uint32_t deadline_ms; /* left when it was received */
+	bool repeat; /* an earlier attempt with this key ended with outcome "unknown" */
+	uint32_t deadline_ms; /* time left when it was received */
 	uint32_t retry_budget;
 	char idem_key[LW_IDEM_MAX]; /* empty: none */
-	char user_id[LW_NAME_MAX]; /* the user request's id, for tracing */
-	uint32_t depth; /* calls between the user's request and this one */
-	uint64_t parent; /* inbound request it is part of, 0 if none */
-	lw_key_t attempt_key; /* frames: of the sender and its attempt */
+	char user_id[LW_NAME_MAX]; /* id of the user request, for tracing */
+	uint32_t depth; /* number of calls between the user's request and this one */
+	uint64_t parent; /* inbound request that it belongs to; 0: none */
+	lw_key_t attempt_key; /* requests from frames: identifies the sender and its attempt */
 	lw_str_t body; /* borrowed from the connection */
 } lw_request_t;
 
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -1,4 +1,6 @@
-/* Failure tests of the HTTP server and the peer connections, over loopback. */
+/*
+ * Failure tests of the HTTP server and of the connections to peers, over loopback.
+ */
 #include <fcntl.h>
 #include <pthread.h>
 #include <stdio.h>
@@ -23,12 +25,11 @@
 }
 
 /*
- * Symptom (measured, bench surge at 900/s): 40% of registrations end
- *   "unknown"; the clients see "Connection reset by peer".
- * Sequence: a node serves 256 callers and 256 calls of its backend server,
- *   each with a connection onwards: its descriptors pass 1023.
- * Cause: libmicrohttpd with select() cannot serve a descriptor over 1023
- *   and closes the connection with the request unread. It now polls.
+ * Guards against connections reset at random: with more than 1023 open descriptors (256 callers
+ * and 256 nested calls, each with an onward connection), libmicrohttpd with select() closes every
+ * connection whose descriptor is above 1023 before it reads the request. At 900 requests/s, 40% of
+ * the registrations ended as "unknown" that way; clients saw "Connection reset by peer". The
+ * server must use poll().
  */
 static void httpd_serves_past_1024_descriptors(void)
 {
@@ -86,12 +87,11 @@
 }
 
 /*
- * Symptom: after a slow moment a caller gets an answer made of another's.
- * Sequence: a peer sends the first half of a frame, is held up past the
- *   reader's timeout, and sends the rest.
- * Cause: the reader reported "nothing came" and read on: the rest of the old
- *   frame was taken for the start of the next. A cut frame is now an error
- *   that ends the connection; only "no byte at all" may be read again.
+ * Guards against an answer that contains part of another one: a peer sends the first half of a
+ * frame, pauses past the reader's timeout, and sends the rest. If the reader reported a timeout
+ * and continued, it would take the rest of the old frame for the start of the next one. A
+ * truncated frame must be an error that ends the connection; only if no byte at all has arrived
+ * may the read be repeated.
  */
 static void frame_cut_midway_is_an_error(void)
 {
@@ -110,7 +110,7 @@
 	free(buf);
 }
 
-/* A frame that comes in two parts within its time is whole. */
+/* A frame that arrives in two parts within the timeout is complete. */
 static void frame_in_parts_is_whole(void)
 {
 	uint8_t *buf;
@@ -134,11 +134,10 @@
 }
 
 /*
- * Symptom: a caller gets the answer of another caller's request.
- * Sequence: two callers use the same idempotency key on two routes; or two
- *   long keys that differ only past their 127th byte.
- * Cause: the record's key was a hash of the idempotency key alone, cut at
- *   127 bytes. The route is part of it, and a longer key is refused.
+ * Guards against answering a caller with another caller's answer: the same idempotency key on two
+ * routes, or two keys that differ only after 127 bytes, must not map to the same record. The
+ * record key must include the route, and a key that is too long must be rejected instead of
+ * truncated.
  */
 static void idem_keys_do_not_cross(void)
 {
