--- a/src/bconn.h
+++ b/src/bconn.h
@@ -55,7 +55,7 @@
 	lw_bytebuf_t in;
 	lw_bytebuf_t out;
 	struct lw_bconn *next; /* next in the list of idle connections */
-	lw_hub_fn on_idle_end; /* called when the server closes the connection while it is idle */
+	lw_hub_fn on_idle_end; /* called when the server closes the idle connection */
 	void *idle_ctx;
 };
 
--- a/src/call.h
+++ b/src/call.h
@@ -47,7 +47,7 @@
 	uint32_t queued;
 	uint32_t limit; /* 0: accepts no requests, the node is about to exit */
 	uint32_t service_us;
-	uint32_t level; /* admission threshold: lowest rank that it rejects, see level.h */
+	uint32_t level; /* admission level: lowest rank that it rejects, see level.h */
 	uint32_t failing; /* recent failure rate of its requests, per mille */
 	bool leaving;
 	bool down; /* the backend server accepts no connection */
@@ -71,7 +71,7 @@
 	uint32_t target_left_ms;
 	uint32_t rank; /* of the user request that it belongs to, see level.h */
 	bool repeat; /* a retry, or part of a request that is a retry */
-	lw_notice_t notice; /* what the sender knows about the target; server 0: nothing */
+	lw_notice_t notice; /* what the sender knows about the target */
 } lw_call_request_t;
 
 /* The head of an answer. */
--- a/src/exchadmit.c
+++ b/src/exchadmit.c
@@ -32,7 +32,7 @@
 	LW_IDENTITY_AMBIGUOUS, /* two API keys */
 } lw_identity_t;
 
-static uint32_t header_ms(const lw_httphead_t *h)
+static uint32_t read_deadline_ms(const lw_httphead_t *h)
 {
 	lw_str_t v = lw_httphead_find(h, LW_HEADER_DEADLINE);
 	uint64_t ms = 0;
@@ -52,7 +52,7 @@
 static void set_times(lw_exchange_t *x, const lw_exchange_request_t *req, uint32_t timeout_ms)
 {
 	uint64_t now = x->engine->hub->now_us;
-	uint32_t deadline = header_ms(req->head);
+	uint32_t deadline = read_deadline_ms(req->head);
 	uint32_t give_up;
 
 	if (!deadline)
@@ -106,7 +106,7 @@
 	if (!dot)
 		return;
 	for (const char *p = x->request_id; *p; p++)
-		x->above += *p == '.';
+		x->call_depth += *p == '.';
 	x->parent_id = (lw_str_t){ x->request_id, (size_t)(dot - x->request_id) };
 	x->nested = true;
 	x->attempts.nested = true;
@@ -205,7 +205,7 @@
 		return true;
 	lw_log(LW_LOG_path_busy, "id=%s route=%s rank=%u by=%s level=%u", x->request_id, x->route,
 	       x->rank, hot.service, hot.level);
-	x->limited = lw_place_limited(&e->place, hot.service, e->hub->now_us);
+	x->rate_limited = lw_place_limited(&e->place, hot.service, e->hub->now_us);
 	lw_exchange_refuse(x, LW_FAIL_PATH_BUSY);
 	return false;
 }
@@ -217,14 +217,14 @@
 	lw_quota_verdict_t v;
 
 	lw_quota_take(e->quota, org, e->hub->now_us, &v);
-	x->counted = v.admitted;
+	x->quota_counted = v.admitted;
 	if (v.admitted)
 		return true;
 	lw_log(LW_LOG_over_limit,
 	       "id=%s route=%s org=%s rate=%.0f admit_permille=%u alone=%d news_ms=%u",
 	       x->request_id, x->route, x->org, org->rate_per_s, v.admit_permille, v.alone,
 	       v.news_ms);
-	x->room_ms = v.room_ms;
+	x->min_retry_after_ms = v.room_ms;
 	lw_exchange_refuse(x, LW_FAIL_OVER_LIMIT);
 	return false;
 }
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -67,7 +67,7 @@
 	x->call = NULL;
 	ev_timer_stop(x->engine->hub->loop, &x->stall);
 	if (x->host) {
-		lw_str_copy(x->last, sizeof(x->last), lw_str_c(x->host->id));
+		lw_str_copy(x->last_server, sizeof(x->last_server), lw_str_c(x->host->id));
 		lw_place_ended(x->host, ok, x->engine->hub->now_us);
 	}
 	x->host = NULL;
@@ -105,7 +105,8 @@
 	       (unsigned long long)x->engine->conf->version, x->rank, status, lw_fail_name(why),
 	       x->attempts.given, x->attempts.handed_back, x->attempts.maybe_ran,
 	       (uint32_t)((x->engine->hub->now_us - x->started_us) / 1000), retry_after_ms,
-	       x->last[0] ? x->last : "none", x->limited, (unsigned long long)x->print.value.whole);
+	       x->last_server[0] ? x->last_server : "none", x->rate_limited,
+	       (unsigned long long)x->print.value.whole);
 	lw_exchange_mark_parent_failed(x);
 	lw_exchange_release(x);
 	if (reply)
@@ -118,7 +119,7 @@
  */
 void lw_exchange_refuse(lw_exchange_t *x, lw_fail_t why)
 {
-	uint32_t room = x->room_ms ? x->room_ms : LW_COMEBACK_DEFAULT_MS;
+	uint32_t room = x->min_retry_after_ms ? x->min_retry_after_ms : LW_COMEBACK_DEFAULT_MS;
 	uint32_t ms = lw_comeback_ms(room, x->priority, lw_exchange_remaining_ms(x, x->deadline_us),
 				     lw_hub_random(x->engine->hub, UINT32_MAX));
 
@@ -127,7 +128,7 @@
 		x->engine->stats.held++;
 		ms = room;
 	}
-	if (x->counted)
+	if (x->quota_counted)
 		lw_quota_refund(x->engine->quota, x->org_id, x->engine->hub->now_us);
 	x->engine->stats.refused++;
 	x->engine->stats.over_limit += why == LW_FAIL_OVER_LIMIT;
@@ -178,7 +179,7 @@
 void lw_exchange_on_timeout(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_exchange_t *x = w->data;
-	bool under_way = x->call != NULL;
+	bool in_progress = x->call != NULL;
 
 	(void)loop;
 	(void)revents;
@@ -187,7 +188,7 @@
 		lw_exchange_after_failure(x, LW_FAIL_TIMEOUT);
 		return;
 	}
-	x->attempts.maybe_ran |= under_way;
+	x->attempts.maybe_ran |= in_progress;
 	lw_exchange_answer_verdict(x, LW_VERDICT_TIMEOUT, LW_FAIL_TIMEOUT);
 }
 
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -48,7 +48,7 @@
 	uint64_t no_route;
 	uint64_t no_config;
 	uint64_t not_identified; /* requests without an API key or with an unknown one */
-	uint64_t over_limit; /* of those refused: their organisation was at its rate limit */
+	uint64_t over_limit; /* of those refused: organisation at its rate limit */
 	uint64_t refused;
 	uint64_t failed;
 	uint64_t timeouts;
@@ -74,7 +74,7 @@
 	lw_quarantine_t *quarantine;
 	lw_hotpath_t *overload;
 	lw_quota_t *quota;
-	lw_fleetconf_t *conf; /* current configuration; NULL before the first one was received */
+	lw_fleetconf_t *conf; /* current configuration; NULL before the first */
 	uint32_t active;
 	lw_exchange_t *exchanges; /* oldest first */
 	/* called when a server reports an id other than the one in the server list; may be NULL */
--- a/src/exchange_int.h
+++ b/src/exchange_int.h
@@ -28,7 +28,7 @@
 	int64_t body_length;
 	char *request_id; /* of any length: the ids of nested calls grow with their depth */
 	char route[LW_NAME_MAX];
-	char last[LW_NAME_MAX]; /* backend server of the last finished attempt */
+	char last_server[LW_NAME_MAX]; /* backend server of the last finished attempt */
 	lw_routestat_t *stat; /* route statistics */
 	/* id of the parent request, a prefix of request_id; empty: none is known here */
 	lw_str_t parent_id;
@@ -36,13 +36,13 @@
 	uint32_t priority; /* priority of the route */
 	char org[LW_NAME_MAX]; /* organisation of the caller; empty: none */
 	uint64_t org_id;
-	bool counted; /* counted against the rate limit of the organisation */
+	bool quota_counted; /* counted against the rate limit of the organisation */
 	uint32_t target_ms;
 	uint64_t started_us;
 	uint64_t give_up_us; /* the earlier of the caller's deadline and the route's timeout */
 	uint64_t deadline_us; /* the caller's deadline */
 	uint64_t target_us; /* when the user request misses its latency objective */
-	uint32_t room_ms; /* shortest retry-after delay reported by a server; 0: none */
+	uint32_t min_retry_after_ms; /* shortest retry-after delay reported by a server; 0: none */
 	lw_attempts_t attempts;
 	lw_fingerprinter_t print;
 	lw_place_tried_t tried;
@@ -56,12 +56,12 @@
 	bool resending;
 	bool nested;
 	bool repeat; /* made by a request that was itself a retry */
-	uint32_t above; /* number of requests above it in the call graph */
+	uint32_t call_depth; /* number of requests above it in the call graph */
 	bool fin; /* the request body is complete */
 	bool answering; /* the head of the answer was delivered to the caller */
 	bool answered_ok; /* the status is not a server error */
 	/* the last rejection was due to a rate limit that backend servers announced */
-	bool limited;
+	bool rate_limited;
 	/* crash reports about this request from other nodes were awaited once */
 	bool waited_for_crash_reports;
 	bool awaits_body; /* the quarantine needs the fingerprint of the body */
--- a/src/exchattempt.c
+++ b/src/exchattempt.c
@@ -101,14 +101,14 @@
 static void report_service_unavailable(lw_exchange_t *x)
 {
 	lw_engine_t *e = x->engine;
-	lw_load_t shut = { .level = LW_LEVEL_SHUT };
+	lw_load_t unavailable = { .level = LW_LEVEL_SHUT };
 	lw_hot_t hot = { .level = LW_LEVEL_SHUT };
 
 	lw_str_copy(hot.service, sizeof(hot.service), lw_str_c(x->service->name));
-	lw_hots_add(&shut.hots, &hot);
-	lw_hotpath_told(e->overload, x->route, &shut.hots, 0, e->hub->now_us);
+	lw_hots_add(&unavailable.hots, &hot);
+	lw_hotpath_told(e->overload, x->route, &unavailable.hots, 0, e->hub->now_us);
 	if (x->parent_id.len)
-		lw_gate_note_call(&e->gate, x->parent_id, &shut);
+		lw_gate_note_call(&e->gate, x->parent_id, &unavailable);
 }
 
 /*
@@ -153,7 +153,7 @@
 }
 
 /* every host has been tried */
-static void no_host(lw_exchange_t *x, lw_fail_t last)
+static void on_no_host(lw_exchange_t *x, lw_fail_t last)
 {
 	if (may_retry_all_hosts(x, last)) {
 		x->retried_all_hosts = true;
@@ -216,7 +216,7 @@
 	if (host)
 		lw_exchange_attempt_at(x, host, last);
 	else
-		no_host(x, last);
+		on_no_host(x, last);
 }
 
 /*
--- a/src/exchdetain.c
+++ b/src/exchdetain.c
@@ -17,11 +17,11 @@
 
 static void reject_held(lw_exchange_t *x)
 {
-	x->room_ms = lw_quarantine_held_ms(x->engine->quarantine, &x->print.value,
-					   x->engine->hub->now_us);
+	x->min_retry_after_ms = lw_quarantine_held_ms(x->engine->quarantine, &x->print.value,
+						      x->engine->hub->now_us);
 	lw_log(LW_LOG_request_held, "id=%s route=%s print=%016llx for_ms=%u given=%u",
-	       x->request_id, x->route, (unsigned long long)x->print.value.whole, x->room_ms,
-	       x->attempts.given);
+	       x->request_id, x->route, (unsigned long long)x->print.value.whole,
+	       x->min_retry_after_ms, x->attempts.given);
 	lw_exchange_answer_verdict(x, lw_retry_final(&x->attempts, LW_FAIL_HELD), LW_FAIL_HELD);
 }
 
--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -13,7 +13,7 @@
 	lw_engine_t *e = x->engine;
 	lw_retryplace_t at = {
 		.nodes = e->place.nsharing,
-		.above = x->above,
+		.above = x->call_depth,
 		.below = lw_hotpath_depth(e->overload, x->route),
 		.rank = x->rank,
 		.urgent = lw_fleetconf_most_urgent(e->conf, x->rank / LW_RANKS_PER_PRIORITY),
@@ -107,7 +107,7 @@
 }
 
 /*
- * Updates placement and the admission thresholds on the call path with the load reported by the
+ * Updates placement and the admission levels on the call path with the load reported by the
  * node. @served: the answer is complete, so the work it caused at each service is known.
  */
 static void apply_load(lw_exchange_t *x, const lw_load_t *load, bool served)
@@ -162,9 +162,9 @@
 		return;
 	if (load)
 		apply_load(x, load, false);
-	x->limited = load && load->notice.limited;
-	if (retry_after_ms && (!x->room_ms || retry_after_ms < x->room_ms))
-		x->room_ms = retry_after_ms;
+	x->rate_limited = load && load->notice.limited;
+	if (retry_after_ms && (!x->min_retry_after_ms || retry_after_ms < x->min_retry_after_ms))
+		x->min_retry_after_ms = retry_after_ms;
 	if (why == LW_FAIL_MISDIRECTED && x->host)
 		on_host_replaced(x);
 	if (!lw_fail_reached_server(why))
@@ -337,11 +337,11 @@
 /*
  * The call in progress is silent or takes much longer than usual. An idempotent request is sent to
  * another server; a nested call may also be resent to a server that already had it; any other
- * request can only wait. The request also waits if no other host has room for it (@sure: is known
+ * request can only wait. The request also waits if no other host has room for it (@confirmed: is known
  * to have room): if it were abandoned and then rejected there, it would fail with 502 although its
  * server is still working on it.
  */
-static void abandon_stalled(lw_exchange_t *x, bool sure)
+static void abandon_stalled(lw_exchange_t *x, bool confirmed)
 {
 	lw_place_ask_t req = lw_exchange_place_query(x);
 	const lw_place_host_t *again = lw_place_pick_again(x->service, &x->tried, &req);
@@ -349,12 +349,12 @@
 	lw_verdict_t v;
 
 	if (x->tried.n < LW_PLACE_TRIED_MAX)
-		room = lw_place_pick_room(x->service, &x->tried, &req, sure);
+		room = lw_place_pick_room(x->service, &x->tried, &req, confirmed);
 	x->attempts.left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	x->attempts.body_kept = x->body_base == 0;
 	v = lw_exchange_verdict(x) == LW_QUARANTINE_CLEAR ? lw_retry_silent(&x->attempts) :
 							    LW_VERDICT_FAIL;
-	if (!room && (sure || v == LW_VERDICT_AGAIN_COUNTED)) {
+	if (!room && (confirmed || v == LW_VERDICT_AGAIN_COUNTED)) {
 		schedule_room_check(x);
 		return;
 	}
--- a/src/gate.c
+++ b/src/gate.c
@@ -25,9 +25,9 @@
 #define LONGEST_HALF_LIFE_US 7000000
 /* a server that accepted no connection is retried after this, us */
 #define DOWN_RETRY_US 250000
-/* number of idle steps after which the timer of the admission threshold stops */
+/* number of idle steps after which the timer of the admission level stops */
 #define IDLE_STEPS_MAX 20
-/* lowest rate limit used to compute the admission threshold, requests a second */
+/* lowest rate limit used to compute the admission level, requests a second */
 #define LEVEL_MIN_PER_S	 0.1
 #define JOB_OF_WAITER(w) ((lw_job_t *)(void *)((char *)(w)-offsetof(lw_job_t, waiter)))
 
@@ -165,10 +165,10 @@
 	       lw_pace_ready(&g->ratelimit, g->hub->now_us))
 		start_first_queued(g);
 	if (!g->queue.first)
-		ev_timer_stop(g->hub->loop, &g->expiry);
+		ev_timer_stop(g->hub->loop, &g->expiry_timer);
 }
 
-static void on_expiry(struct ev_loop *loop, ev_timer *w, int revents)
+static void on_expiry_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_gate_t *g = w->data;
 	lw_waiter_t *x;
@@ -234,7 +234,7 @@
 {
 	lw_quarantine_verdict_t verdict;
 	lw_fingerprinter_t print;
-	lw_waiter_t probe;
+	lw_waiter_t candidate;
 	lw_admit_state_t st;
 	lw_job_t *j;
 
@@ -243,11 +243,11 @@
 	lw_gate_accept_reported_limit(g, &req->notice);
 	verdict = lw_quarantine_verdict(g->quarantine, &print.value, g->hub->now_us);
 	lw_level_arrival(&g->level, req->rank);
-	if (!ev_is_active(&g->step))
-		ev_timer_again(g->hub->loop, &g->step);
+	if (!ev_is_active(&g->level_timer))
+		ev_timer_again(g->hub->loop, &g->level_timer);
 	server_load(g, &st.load);
-	probe = waiter_of(g, &st, req);
-	st.ahead = (uint32_t)lw_waitq_ahead(&g->queue, &probe);
+	candidate = waiter_of(g, &st, req);
+	st.ahead = (uint32_t)lw_waitq_ahead(&g->queue, &candidate);
 	st.pace_ms = lw_pace_wait_ms(&g->ratelimit, st.ahead, g->hub->now_us);
 	*retry_after_ms = lw_admit_retry_after_ms(&st.load);
 	*why = refusal_reason(g, &st, req);
@@ -272,10 +272,10 @@
 		lw_job_start(j);
 		return &j->call;
 	}
-	j->waiter = probe;
+	j->waiter = candidate;
 	g->queued_bytes += body.len;
 	lw_waitq_push(&g->queue, &j->waiter);
-	ev_timer_again(g->hub->loop, &g->expiry);
+	ev_timer_again(g->hub->loop, &g->expiry_timer);
 	return &j->call;
 }
 
@@ -283,7 +283,7 @@
 uint64_t lw_gate_oldest_us(const lw_gate_t *g)
 {
 	/* the hash table keeps the order of insertion */
-	return g->by_id ? g->hub->now_us - g->by_id->came_us + 1 : 0;
+	return g->by_id ? g->hub->now_us - g->by_id->arrived_us + 1 : 0;
 }
 
 /* lw_gate_reject_queued() - reject all queued requests with @why. */
@@ -433,7 +433,7 @@
 	return (lw_level_input_t){ queued, busy_slots(g), g->limit, g->service_us };
 }
 
-static void on_step(struct ev_loop *loop, ev_timer *w, int revents)
+static void on_level_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_gate_t *g = w->data;
 	lw_level_input_t in = level_input(g);
@@ -447,7 +447,7 @@
 	if (g->queue.first)
 		lw_gate_dispatch(g);
 	if (g->idle_steps > IDLE_STEPS_MAX)
-		ev_timer_stop(loop, &g->step);
+		ev_timer_stop(loop, &g->level_timer);
 }
 
 /* lw_gate_init() - initialise the gate of the backend server named in the settings. */
@@ -458,11 +458,11 @@
 	g->quarantine = quarantine;
 	g->limit = lw_admit_limit(0);
 	g->service_us = SERVICE_INITIAL_US;
-	ev_timer_init(&g->expiry, on_expiry, 0, EXPIRY_INTERVAL_S);
-	g->expiry.data = g;
+	ev_timer_init(&g->expiry_timer, on_expiry_timer, 0, EXPIRY_INTERVAL_S);
+	g->expiry_timer.data = g;
 	lw_level_init(&g->level);
 	lw_gate_crash_init(g);
-	ev_timer_init(&g->step, on_step, 0, LW_LEVEL_STEP_MS / 1000.0);
-	g->step.data = g;
+	ev_timer_init(&g->level_timer, on_level_timer, 0, LW_LEVEL_STEP_MS / 1000.0);
+	g->level_timer.data = g;
 	lw_hub_on_tick(hub, lw_gate_close_expired_idle, g);
 }
--- a/src/gate.h
+++ b/src/gate.h
@@ -29,7 +29,7 @@
 	uint64_t connections; /* connections opened to the backend server */
 	uint64_t invalid_answers;
 	uint64_t invalid_limits; /* answers that announce a rate limit which is not a number */
-	uint64_t paced; /* rejected, because the backend server's rate limit left no room in time */
+	uint64_t paced; /* rejected due to the rate limit of the backend server */
 	lw_histogram_t wait;
 } lw_gate_stats_t;
 
@@ -43,7 +43,7 @@
 
 /* State of a crash check of the backend server; see gatecrash.c. */
 typedef struct lw_crash {
-	ev_timer due; /* next step of the check; active while a check is in progress */
+	ev_timer check_timer; /* next step of the check; active while a check is in progress */
 	ev_io io; /* of the test connection */
 	uint64_t since_us; /* when the first connection closed unexpectedly */
 	uint32_t in_flight; /* requests whose connections closed */
@@ -80,8 +80,8 @@
 	lw_bconn_t *idle;
 	uint32_t nidle;
 	uint32_t ncalls; /* executing or queued */
-	ev_timer expiry; /* periodic check for expired requests; active while any are queued */
-	ev_timer step; /* periodic update of the admission threshold; active while there is work */
+	ev_timer expiry_timer; /* checks for expired requests; active while any are queued */
+	ev_timer level_timer; /* updates the admission level; active while there is work */
 	uint32_t idle_steps;
 	lw_level_t level;
 	struct lw_job *by_id; /* jobs by request id */
--- a/src/gate_int.h
+++ b/src/gate_int.h
@@ -11,7 +11,7 @@
 #include "gate.h"
 
 /* an answer up to this size is forwarded in one piece */
-#define ANSWER_WHOLE_BYTES 32768
+#define ANSWER_BUFFER_BYTES 32768
 
 typedef struct lw_job {
 	lw_call_t call;
@@ -20,7 +20,7 @@
 	lw_bconn_t *conn; /* NULL while queued */
 	lw_bytebuf_t head;
 	lw_bytebuf_t body; /* request body, while queued */
-	lw_bytebuf_t answer; /* collected up to ANSWER_WHOLE_BYTES */
+	lw_bytebuf_t answer; /* collected up to ANSWER_BUFFER_BYTES */
 	lw_answer_t answer_head;
 	lw_bytebuf_t answer_head_text;
 	char *request_id; /* of any length: the ids of nested calls grow with their depth */
@@ -28,7 +28,7 @@
 	int64_t body_length;
 	uint64_t deadline_us;
 	uint64_t target_us; /* when the user request misses its latency objective */
-	uint64_t came_us;
+	uint64_t arrived_us;
 	uint64_t started_us; /* 0 while queued */
 	size_t unacked; /* body bytes queued on the connection but not yet credited */
 	size_t head_left; /* bytes of the head not written yet */
@@ -59,7 +59,7 @@
 void lw_gate_dispatch(lw_gate_t *g);
 void lw_gate_record_duration(lw_gate_t *g, uint64_t took_us);
 void lw_gate_reject_queued(lw_gate_t *g, lw_fail_t why);
-void lw_gate_accept_reported_limit(lw_gate_t *g, const lw_notice_t *told);
+void lw_gate_accept_reported_limit(lw_gate_t *g, const lw_notice_t *reported);
 void lw_gate_reset_notice(lw_gate_t *g);
 void lw_gate_server_down(lw_gate_t *g);
 void lw_gate_check_crash(lw_job_t *j);
--- a/src/gatecrash.c
+++ b/src/gatecrash.c
@@ -23,7 +23,7 @@
 
 static void stop_check(lw_crash_t *c, struct ev_loop *loop)
 {
-	ev_timer_stop(loop, &c->due);
+	ev_timer_stop(loop, &c->check_timer);
 	if (!ev_is_active(&c->io))
 		return;
 	ev_io_stop(loop, &c->io);
@@ -80,7 +80,7 @@
 		finish_check(g, false);
 }
 
-static void on_due(struct ev_loop *loop, ev_timer *w, int revents)
+static void on_check_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_gate_t *g = w->data;
 	lw_crash_t *c = &g->crash;
@@ -94,8 +94,8 @@
 	}
 	ev_io_set(&c->io, fd, EV_WRITE);
 	ev_io_start(loop, &c->io);
-	ev_timer_set(&c->due, CONNECT_WAIT_S, 0);
-	ev_timer_start(loop, &c->due);
+	ev_timer_set(&c->check_timer, CONNECT_WAIT_S, 0);
+	ev_timer_start(loop, &c->check_timer);
 }
 
 /*
@@ -106,7 +106,7 @@
 {
 	lw_gate_t *g = j->gate;
 	lw_crash_t *c = &g->crash;
-	bool checking = ev_is_active(&c->due);
+	bool checking = ev_is_active(&c->check_timer);
 
 	if (!checking && g->hub->now_us - c->since_us > SAME_CRASH_US) {
 		c->since_us = g->hub->now_us;
@@ -120,8 +120,8 @@
 			(lw_crash_suspect_t){ j->print.value, j->tried_alone };
 	if (checking)
 		return;
-	ev_timer_set(&c->due, CRASH_CHECK_DELAY_S, 0);
-	ev_timer_start(g->hub->loop, &c->due);
+	ev_timer_set(&c->check_timer, CRASH_CHECK_DELAY_S, 0);
+	ev_timer_start(g->hub->loop, &c->check_timer);
 }
 
 /*
@@ -129,7 +129,7 @@
  */
 void lw_gate_confirm_crash(lw_gate_t *g)
 {
-	if (ev_is_active(&g->crash.due))
+	if (ev_is_active(&g->crash.check_timer))
 		finish_check(g, true);
 }
 
@@ -138,6 +138,6 @@
 {
 	ev_init(&g->crash.io, on_connected);
 	g->crash.io.data = g;
-	ev_init(&g->crash.due, on_due);
-	g->crash.due.data = g;
+	ev_init(&g->crash.check_timer, on_check_timer);
+	g->crash.check_timer.data = g;
 }
--- a/src/gatejob.c
+++ b/src/gatejob.c
@@ -82,7 +82,7 @@
 	       (unsigned long long)j->print.value.whole,
 	       j->started_us ? (unsigned long long)((g->hub->now_us - j->started_us) / 1000) : 0,
 	       (unsigned long long)(((j->started_us ? j->started_us : g->hub->now_us) -
-				     j->came_us) /
+				     j->arrived_us) /
 				    1000),
 	       g->running, g->queue.len, g->limit);
 	if (j->conn) {
@@ -182,7 +182,7 @@
 	if (j->not_executed)
 		return;
 	lw_bytebuf_append_str(&j->answer, data);
-	if (j->head_sent || lw_bytebuf_len(&j->answer) > ANSWER_WHOLE_BYTES)
+	if (j->head_sent || lw_bytebuf_len(&j->answer) > ANSWER_BUFFER_BYTES)
 		forward_answer(j, false);
 	if (!j->dead && j->window <= 0)
 		lw_bconn_pause(j->conn, true);
@@ -314,7 +314,7 @@
 		return;
 	}
 	g->stats.started++;
-	lw_histogram_add(&g->stats.wait, j->started_us - j->came_us);
+	lw_histogram_add(&g->stats.wait, j->started_us - j->arrived_us);
 	lw_bconn_start(j->conn, &conn_ops, j, is_head);
 	if (j->body_length < 0 || j->body_length > LW_CALL_WINDOW)
 		lw_bconn_long_body(j->conn);
@@ -391,7 +391,7 @@
 	j->call.sink = sink;
 	j->gate = g;
 	j->body_length = req->body_length;
-	j->came_us = g->hub->now_us;
+	j->arrived_us = g->hub->now_us;
 	j->deadline_us = g->hub->now_us + (uint64_t)req->deadline_ms * 1000;
 	j->target_us = g->hub->now_us + (uint64_t)req->target_left_ms * 1000;
 	j->window = LW_CALL_WINDOW;
--- a/src/gatenotice.c
+++ b/src/gatenotice.c
@@ -8,7 +8,7 @@
 #include "log.h"
 
 /* enforces the announced rate limit from now on */
-static void set_pace(lw_gate_t *g, uint64_t server)
+static void apply_limit(lw_gate_t *g, uint64_t server)
 {
 	lw_pace_set(&g->ratelimit, g->announced_limit.on, g->announced_limit.per_s, g->hub->now_us);
 	g->notice.server = server;
@@ -20,13 +20,13 @@
  * lw_gate_accept_reported_limit() - apply the rate limit that the sender of a request knows for
  * the backend server. Ignored once the backend server itself has announced a limit to this node.
  */
-void lw_gate_accept_reported_limit(lw_gate_t *g, const lw_notice_t *told)
+void lw_gate_accept_reported_limit(lw_gate_t *g, const lw_notice_t *reported)
 {
-	if (!told->limited || g->announced_limit.heard_us ||
-	    (g->server_id[0] && !lw_notice_is_of(told, g->server_id, g->server_born_ms)))
+	if (!reported->limited || g->announced_limit.heard_us ||
+	    (g->server_id[0] && !lw_notice_is_of(reported, g->server_id, g->server_born_ms)))
 		return;
-	if (lw_notice_limit_told(&g->announced_limit, told->limit_per_s))
-		set_pace(g, told->server);
+	if (lw_notice_limit_told(&g->announced_limit, reported->limit_per_s))
+		apply_limit(g, reported->server);
 }
 
 /* lw_gate_reset_notice() - discard the announcements of the previous process. */
@@ -54,7 +54,7 @@
 {
 	g->stats.invalid_limits += said->limit_invalid;
 	if (lw_notice_limit_hear(&g->announced_limit, said, sent_us, g->hub->now_us))
-		set_pace(g, g->notice.server);
+		apply_limit(g, g->notice.server);
 	if (said->leaving && !g->notice.leaving)
 		on_leaving(g);
 }
--- a/src/pool.c
+++ b/src/pool.c
@@ -55,7 +55,7 @@
 	free(p);
 }
 
-static peer_conns_t *conns_of(lw_pool_t *p, const char *addr, bool create)
+static peer_conns_t *get_peer_conns(lw_pool_t *p, const char *addr, bool create)
 {
 	peer_conns_t *pc = NULL;
 
@@ -73,7 +73,7 @@
 	int fd = -1;
 
 	pthread_mutex_lock(&p->lock);
-	peer_conns_t *pc = conns_of(p, addr, false);
+	peer_conns_t *pc = get_peer_conns(p, addr, false);
 
 	/* the most recently used connection is the least likely to have gone silent */
 	while (fd < 0 && pc && pc->nidle) {
@@ -87,10 +87,10 @@
 	return fd;
 }
 
-static void give_back(lw_pool_t *p, const char *addr, int fd)
+static void return_idle(lw_pool_t *p, const char *addr, int fd)
 {
 	pthread_mutex_lock(&p->lock);
-	peer_conns_t *pc = conns_of(p, addr, true);
+	peer_conns_t *pc = get_peer_conns(p, addr, true);
 
 	if (pc->nidle < POOL_IDLE_MAX) {
 		pc->idle[pc->nidle++] = (idle_conn_t){ fd, lw_now_ms() };
@@ -107,7 +107,7 @@
 	unsigned dropped = 1;
 
 	pthread_mutex_lock(&p->lock);
-	peer_conns_t *pc = conns_of(p, addr, false);
+	peer_conns_t *pc = get_peer_conns(p, addr, false);
 
 	while (pc && pc->nidle) {
 		close(pc->idle[--pc->nidle].fd);
@@ -167,7 +167,7 @@
 		fd = -1;
 	}
 	if (*reply) {
-		give_back(p, addr, fd);
+		return_idle(p, addr, fd);
 		return true;
 	}
 	if (lw_sock_connect(addr, connect_ms, &fd))
@@ -176,7 +176,7 @@
 		lw_sock_abort(fd);
 		return false;
 	}
-	give_back(p, addr, fd);
+	return_idle(p, addr, fd);
 	return true;
 }
 
@@ -320,7 +320,7 @@
 	if (fd < 0)
 		return fail;
 	if (fail == LW_POOL_OK && !lw_sock_stale(fd))
-		give_back(p, call->addr, fd);
+		return_idle(p, call->addr, fd);
 	else
 		lw_sock_abort(fd);
 	return fail;
