--- a/src/answer.c
+++ b/src/answer.c
@@ -1,6 +1,4 @@
-/*
- * Reference-counted answers; see answer.h.
- */
+/* Reference-counted answers; see answer.h. */
 #include "answer.h"
 
 #include <stdlib.h>
--- a/src/call.c
+++ b/src/call.c
@@ -1,6 +1,4 @@
-/*
- * Names and classification of failed calls; see call.h.
- */
+/* Names and classification of failed calls; see call.h. */
 #include "call.h"
 
 /*
--- a/src/caller.c
+++ b/src/caller.c
@@ -1,6 +1,4 @@
-/*
- * Connections of callers: accept, write, timeouts and close; see caller.h.
- */
+/* Connections of callers: accept, write, timeouts and close; see caller.h. */
 #include "caller_int.h"
 
 #include <errno.h>
--- a/src/caller_int.h
+++ b/src/caller_int.h
@@ -1,6 +1,4 @@
-/*
- * Internal to the caller module; other modules use caller.h.
- */
+/* Internal to the caller module; other modules use caller.h. */
 #ifndef LW_CALLER_INT_H
 #define LW_CALLER_INT_H
 
--- a/src/callerread.c
+++ b/src/callerread.c
@@ -1,6 +1,4 @@
-/*
- * Reads the requests of callers, strictly one after the other.
- */
+/* Reads the requests of callers, strictly one after the other. */
 #include "caller_int.h"
 
 #include <errno.h>
--- a/src/callerreply.c
+++ b/src/callerreply.c
@@ -1,6 +1,4 @@
-/*
- * Writes answers to callers.
- */
+/* Writes answers to callers. */
 #include "caller_int.h"
 
 #include <stdio.h>
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -1,6 +1,4 @@
-/*
- * Life cycle and final answers of a caller's request; see exchange.h.
- */
+/* Life cycle and final answers of a caller's request; see exchange.h. */
 #include "exchange_int.h"
 
 #include <stdlib.h>
@@ -85,8 +83,8 @@
 }
 
 /*
- * lw_exchange_mark_parent_failed() - a parent request that executes here will fail as its nested
- * call failed, whichever server executes it.
+ * lw_exchange_mark_parent_failed() - record that a nested call of the parent request failed. The
+ * parent will fail on any server, so it is not retried.
  */
 void lw_exchange_mark_parent_failed(const lw_exchange_t *x)
 {
--- a/src/exchange_int.h
+++ b/src/exchange_int.h
@@ -1,6 +1,4 @@
-/*
- * Internal to the exchange module; other modules use exchange.h.
- */
+/* Internal to the exchange module; other modules use exchange.h. */
 #ifndef LW_EXCHANGE_INT_H
 #define LW_EXCHANGE_INT_H
 
@@ -48,7 +46,7 @@
 	lw_place_tried_t tried;
 	ev_timer timer;
 	ev_timer stall; /* expires when the attempt counts as stalled */
-	ev_timer hold; /* expires when a host is searched again or crash reports were awaited */
+	ev_timer hold; /* until the next search for a host, or while crash reports are awaited */
 	lw_fail_t hold_reason;
 	/* all hosts were retried once, as none of them had received the request */
 	bool retried_all_hosts;
--- a/src/exchdetain.c
+++ b/src/exchdetain.c
@@ -1,6 +1,4 @@
-/*
- * Quarantine of requests that crashed backend servers: each is tried alone or rejected.
- */
+/* Quarantine of requests that crashed backend servers: each is tried alone or rejected. */
 #include "exchange_int.h"
 
 #include "log.h"
--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -1,6 +1,4 @@
-/*
- * Handles the outcome of each attempt: retry on another server, resend, or answer.
- */
+/* Handles the outcome of each attempt: retry on another server, resend, or answer. */
 #include "exchange_int.h"
 
 #include "log.h"
@@ -306,7 +304,7 @@
 		reply->ops->data(reply, data, fin);
 }
 
-/* checks again after a short delay whether another server has room */
+/* schedules another check whether a server has room */
 static void schedule_room_check(lw_exchange_t *x)
 {
 	struct ev_loop *loop = x->engine->hub->loop;
--- a/src/gate.c
+++ b/src/gate.c
@@ -1,6 +1,4 @@
-/*
- * Admission of requests to the backend server on this host; see gate.h.
- */
+/* Admission of requests to the backend server on this host; see gate.h. */
 #include "gate_int.h"
 
 #include <math.h>
--- a/src/gate_int.h
+++ b/src/gate_int.h
@@ -1,6 +1,4 @@
-/*
- * Internal to the gate module; other modules use gate.h.
- */
+/* Internal to the gate module; other modules use gate.h. */
 #ifndef LW_GATE_INT_H
 #define LW_GATE_INT_H
 
--- a/src/gateconn.c
+++ b/src/gateconn.c
@@ -1,6 +1,4 @@
-/*
- * Idle connections to the backend server on this host.
- */
+/* Idle connections to the backend server on this host. */
 #include "gate_int.h"
 
 #include "linux/sock.h"
--- a/src/gatejob.c
+++ b/src/gatejob.c
@@ -1,6 +1,4 @@
-/*
- * One request to the backend server on this host, from the queue to its answer.
- */
+/* One request to the backend server on this host, from the queue to its answer. */
 #include "gate_int.h"
 
 #include <stdio.h>
--- a/src/gatenotice.c
+++ b/src/gatenotice.c
@@ -1,6 +1,4 @@
-/*
- * Self-announcements (leaving, rate limit) of the backend server on this host.
- */
+/* Self-announcements (leaving, rate limit) of the backend server on this host. */
 #include "gate_int.h"
 
 #include <string.h>
--- a/src/httpc.c
+++ b/src/httpc.c
@@ -1,6 +1,4 @@
-/*
- * HTTP client based on neon; see httpc.h.
- */
+/* HTTP client based on neon; see httpc.h. */
 #include "httpc.h"
 
 #include <ne_request.h>
--- a/src/httpd.c
+++ b/src/httpd.c
@@ -1,6 +1,4 @@
-/*
- * HTTP server based on libmicrohttpd; see httpd.h.
- */
+/* HTTP server based on libmicrohttpd; see httpd.h. */
 #include "httpd.h"
 
 #include <microhttpd.h>
--- a/src/httphead.c
+++ b/src/httphead.c
@@ -1,6 +1,4 @@
-/*
- * Parses and forwards heads of HTTP/1.1 messages; see httphead.h.
- */
+/* Parses and forwards heads of HTTP/1.1 messages; see httphead.h. */
 #include "httphead.h"
 
 #include <stdio.h>
--- a/src/httphead.h
+++ b/src/httphead.h
@@ -37,7 +37,7 @@
 	lw_str_t target;
 	lw_str_t host;
 	uint32_t status;
-	int64_t body_length; /* 0: none; -1: chunked; -2: ends with the connection */
+	int64_t body_length; /* 0: none; -1: chunked; -2: until the connection closes */
 	bool keep_alive;
 	bool expect_continue;
 	uint32_t keep_alive_s; /* idle timeout announced by the other side; 0: none */
--- a/src/request.c
+++ b/src/request.c
@@ -1,6 +1,4 @@
-/*
- * Reads requests from HTTP and from frames; see request.h.
- */
+/* Reads requests from HTTP and from frames; see request.h. */
 #include "request.h"
 
 #include <errno.h>
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -1,6 +1,4 @@
-/*
- * Failure tests of the HTTP server and of the connections to peers, over loopback.
- */
+/* Failure tests of the HTTP server and of the connections to peers, over loopback. */
 #include <fcntl.h>
 #include <pthread.h>
 #include <stdio.h>
