--- a/fuzz/fuzz_meshframe.c
+++ b/fuzz/fuzz_meshframe.c
@@ -12,14 +12,14 @@
 	static lw_revdoc_t doc;
 	lw_docfetch_t f = { 0 };
 	lw_docfetch_piece_t piece = lw_meshframe_read_piece(in);
-	lw_docfetch_ask_t ask;
+	lw_docfetch_request_t ask;
 	lw_serverlist_t *sl;
 	char *text;
 
 	if (!lw_revdoc_version(&doc))
 		lw_revdoc_put(&doc, 1, LW_STR("a document that differences are against"));
-	lw_docfetch_begin(&f, &f, &doc, 0, &ask);
-	if (lw_docfetch_take(&f, &f, &doc, &piece, 0, &ask, &text) == LW_DOCFETCH_DONE)
+	lw_docfetch_start(&f, &f, &doc, 0, &ask);
+	if (lw_docfetch_receive(&f, &f, &doc, &piece, 0, &ask, &text) == LW_DOCFETCH_DONE)
 		free(text);
 	lw_docfetch_source_lost(&f, &f);
 	if (!lw_meshframe_unpack_servers(piece.bytes, 1, &sl))
@@ -30,7 +30,7 @@
 static void give_piece(const Lw__Fetch *in)
 {
 	static lw_revdoc_t doc;
-	lw_docfetch_ask_t ask = lw_meshframe_read_fetch(in);
+	lw_docfetch_request_t ask = lw_meshframe_read_fetch(in);
 	lw_docfetch_piece_t piece;
 	lw_bytebuf_t out = { 0 };
 
@@ -69,7 +69,7 @@
 		if (used <= 0)
 			break;
 		read_parts(f);
-		lw_meshframe_done(f);
+		lw_meshframe_free(f);
 		at += (size_t)used;
 	}
 	return 0;
--- a/src/bconn.c
+++ b/src/bconn.c
@@ -26,17 +26,17 @@
 		events |= EV_WRITE;
 	if (c->io.events == events && ev_is_active(&c->io))
 		return;
-	ev_io_stop(c->hub->loop, &c->io);
+	ev_io_stop(c->evloop->loop, &c->io);
 	ev_io_set(&c->io, c->fd, events);
 	if (events)
-		ev_io_start(c->hub->loop, &c->io);
+		ev_io_start(c->evloop->loop, &c->io);
 }
 
 /* A failure is told from the loop, never from inside a call of the user. */
 static void fail_later(lw_bconn_t *c)
 {
 	c->failed = true;
-	ev_feed_event(c->hub->loop, &c->io, EV_READ);
+	ev_feed_event(c->evloop->loop, &c->io, EV_READ);
 }
 
 static void end_broken(lw_bconn_t *c)
@@ -100,7 +100,7 @@
 		return false;
 	}
 	http_parser_init(&c->parser, HTTP_RESPONSE);
-	if (lw_httphead_parse(&head, &c->parser, c->hub->names, block) || !c->user) {
+	if (lw_httphead_parse(&head, &c->parser, c->evloop->names, block) || !c->user) {
 		end_broken(c);
 		return false;
 	}
@@ -221,7 +221,7 @@
 }
 
 /* lw_bconn_open() - begin to connect to the backend server at @addr; NULL on failure. */
-lw_bconn_t *lw_bconn_open(lw_hub_t *hub, const char *addr)
+lw_bconn_t *lw_bconn_open(lw_evloop_t *evloop, const char *addr)
 {
 	lw_bconn_t *c;
 	int fd;
@@ -229,7 +229,7 @@
 	if (lw_sock_start_connect(addr, &fd))
 		return NULL;
 	c = xcalloc(1, sizeof(*c));
-	c->hub = hub;
+	c->evloop = evloop;
 	c->fd = fd;
 	c->connecting = true;
 	ev_io_init(&c->io, on_io, fd, 0);
@@ -308,7 +308,7 @@
 	c->long_body = false;
 	c->user = NULL;
 	c->paused = false;
-	c->idle_since_us = c->hub->now_us;
+	c->idle_since_us = c->evloop->now_us;
 	lw_bytebuf_free(&c->in);
 	lw_bytebuf_free(&c->out);
 	watch(c);
@@ -324,10 +324,10 @@
 	if (c->closed)
 		return;
 	c->closed = true;
-	ev_io_stop(c->hub->loop, &c->io);
-	ev_clear_pending(c->hub->loop, &c->io);
+	ev_io_stop(c->evloop->loop, &c->io);
+	ev_clear_pending(c->evloop->loop, &c->io);
 	lw_sock_abort(c->fd);
 	lw_bytebuf_free(&c->in);
 	lw_bytebuf_free(&c->out);
-	lw_hub_free_later(c->hub, c);
+	lw_evloop_free_later(c->evloop, c);
 }
--- a/src/bconn.h
+++ b/src/bconn.h
@@ -12,7 +12,7 @@
 
 #include "bytebuf.h"
 #include "httphead.h"
-#include "hub.h"
+#include "evloop.h"
 
 typedef struct lw_bconn lw_bconn_t;
 
@@ -31,7 +31,7 @@
 struct lw_bconn {
 	const lw_bconn_ops_t *ops;
 	void *user; /* NULL while idle */
-	lw_hub_t *hub;
+	lw_evloop_t *evloop;
 	int fd;
 	ev_io io;
 	bool connecting;
@@ -52,11 +52,11 @@
 	lw_bytebuf_t in;
 	lw_bytebuf_t out;
 	struct lw_bconn *next; /* in a list of idle connections */
-	lw_hub_fn on_idle_end; /* an idle connection was closed by the server */
+	lw_evloop_fn on_idle_end; /* an idle connection was closed by the server */
 	void *idle_ctx;
 };
 
-lw_bconn_t *lw_bconn_open(lw_hub_t *hub, const char *addr);
+lw_bconn_t *lw_bconn_open(lw_evloop_t *evloop, const char *addr);
 void lw_bconn_start(lw_bconn_t *c, const lw_bconn_ops_t *ops, void *user, bool is_head);
 void lw_bconn_long_body(lw_bconn_t *c);
 void lw_bconn_queue(lw_bconn_t *c, lw_str_t data);
--- a/src/caller.c
+++ b/src/caller.c
@@ -32,10 +32,10 @@
 		events |= EV_WRITE;
 	if (c->io.events == events && ev_is_active(&c->io))
 		return;
-	ev_io_stop(c->set->hub->loop, &c->io);
+	ev_io_stop(c->set->evloop->loop, &c->io);
 	ev_io_set(&c->io, c->fd, events);
 	if (events)
-		ev_io_start(c->set->hub->loop, &c->io);
+		ev_io_start(c->set->evloop->loop, &c->io);
 }
 
 /* lw_caller_close() - close the connection; a request under way is cancelled. */
@@ -47,8 +47,8 @@
 		return;
 	c->closed = true;
 	c->x = NULL;
-	ev_io_stop(c->set->hub->loop, &c->io);
-	ev_clear_pending(c->set->hub->loop, &c->io);
+	ev_io_stop(c->set->evloop->loop, &c->io);
+	ev_clear_pending(c->set->evloop->loop, &c->io);
 	if (c->cut)
 		lw_sock_abort(c->fd);
 	else
@@ -62,7 +62,7 @@
 	c->set->count--;
 	lw_bytebuf_free(&c->in);
 	lw_bytebuf_free(&c->out);
-	lw_hub_free_later(c->set->hub, c);
+	lw_evloop_free_later(c->set->evloop, c);
 	if (x) {
 		c->set->stats.left++;
 		lw_exchange_cancel(x);
@@ -131,7 +131,7 @@
 	c->fd = fd;
 	lw_sock_allow_pauses(fd, true);
 	c->ready_only = l->ready_only;
-	c->since_us = cs->hub->now_us;
+	c->since_us = cs->evloop->now_us;
 	ev_io_init(&c->io, on_io, fd, 0);
 	c->io.data = c;
 	c->next = cs->conns;
@@ -150,14 +150,14 @@
 
 	(void)loop;
 	(void)revents;
-	while (l->set->count + FDS_RESERVED < l->set->hub->set->max_fds || l->ready_only) {
+	while (l->set->count + FDS_RESERVED < l->set->evloop->set->max_fds || l->ready_only) {
 		fd = lw_sock_accept(l->fd);
 		if (fd < 0)
 			return;
 		caller_new(l, fd);
 	}
 	/* as many connections as there are descriptors: the rest wait */
-	ev_io_stop(l->set->hub->loop, &l->io);
+	ev_io_stop(l->set->evloop->loop, &l->io);
 }
 
 static void check_timeouts(lw_callers_t *cs, lw_caller_t *c, uint64_t now)
@@ -180,7 +180,7 @@
 static void on_tick(void *ctx)
 {
 	lw_callers_t *cs = ctx;
-	uint64_t now = cs->hub->now_us;
+	uint64_t now = cs->evloop->now_us;
 	lw_caller_t *next;
 
 	read_limits(cs);
@@ -190,8 +190,8 @@
 	}
 	for (lw_listener_t *l = cs->listeners; l; l = l->next)
 		if (l->fd >= 0 && !ev_is_active(&l->io) &&
-		    cs->count + FDS_RESERVED < cs->hub->set->max_fds)
-			ev_io_start(cs->hub->loop, &l->io);
+		    cs->count + FDS_RESERVED < cs->evloop->set->max_fds)
+			ev_io_start(cs->evloop->loop, &l->io);
 }
 
 /* the host was suspended: what lies unread is old by that time */
@@ -201,10 +201,10 @@
 
 	(void)loop;
 	(void)revents;
-	if (!cs->hub->slept_us)
+	if (!cs->evloop->suspended_us)
 		return;
 	for (lw_caller_t *c = cs->conns; c; c = c->next)
-		c->late_us = cs->hub->slept_us;
+		c->late_us = cs->evloop->suspended_us;
 }
 
 /* lw_callers_set_ready() - what the platform hears when it asks. */
@@ -224,7 +224,7 @@
 
 	for (lw_caller_t *c = cs->conns; c; c = next) {
 		next = c->next;
-		if (cs->hub->now_us - c->since_us >= FRESH_US && c->state == CALLER_HEAD &&
+		if (cs->evloop->now_us - c->since_us >= FRESH_US && c->state == CALLER_HEAD &&
 		    !lw_bytebuf_len(&c->in) && !c->ready_only && !lw_bytebuf_len(&c->out))
 			lw_caller_close(c);
 	}
@@ -236,7 +236,7 @@
 	for (lw_listener_t *l = cs->listeners; l; l = l->next) {
 		if (l->ready_only || l->fd < 0)
 			continue;
-		ev_io_stop(cs->hub->loop, &l->io);
+		ev_io_stop(cs->evloop->loop, &l->io);
 		close(l->fd);
 		l->fd = -1;
 	}
@@ -289,7 +289,7 @@
 	cs->listeners = l;
 	ev_io_init(&l->io, on_accept, l->fd, EV_READ);
 	l->io.data = l;
-	ev_io_start(cs->hub->loop, &l->io);
+	ev_io_start(cs->evloop->loop, &l->io);
 	return LW_OK;
 }
 
@@ -299,12 +299,12 @@
 	lw_callers_t *cs = xcalloc(1, sizeof(*cs));
 
 	cs->engine = engine;
-	cs->hub = engine->hub;
+	cs->evloop = engine->evloop;
 	cs->limits = (lw_fleet_limits_t){ HEAD_DEFAULT_BYTES, BODY_DEFAULT_BYTES, HEAD_DEFAULT_MS,
 					  IDLE_DEFAULT_MS };
 	ev_check_init(&cs->wake, on_wake);
 	cs->wake.data = cs;
-	ev_check_start(cs->hub->loop, &cs->wake);
-	lw_hub_on_tick(cs->hub, on_tick, cs);
+	ev_check_start(cs->evloop->loop, &cs->wake);
+	lw_evloop_on_tick(cs->evloop, on_tick, cs);
 	return cs;
 }
--- a/src/caller.h
+++ b/src/caller.h
@@ -9,7 +9,7 @@
 #include <stdint.h>
 
 #include "exchange.h"
-#include "hub.h"
+#include "evloop.h"
 
 typedef struct lw_callers lw_callers_t;
 
--- a/src/caller_int.h
+++ b/src/caller_int.h
@@ -57,7 +57,7 @@
 
 struct lw_callers {
 	lw_engine_t *engine;
-	lw_hub_t *hub;
+	lw_evloop_t *evloop;
 	lw_caller_t *conns;
 	lw_listener_t *listeners;
 	uint32_t count;
--- a/src/callerread.c
+++ b/src/callerread.c
@@ -49,7 +49,7 @@
 static void next_request(lw_caller_t *c)
 {
 	c->state = CALLER_HEAD;
-	c->since_us = c->set->hub->now_us;
+	c->since_us = c->set->evloop->now_us;
 	c->answered = false;
 	if (c->closing || !c->keep) {
 		c->closing = true;
@@ -105,8 +105,8 @@
 
 static void serve_ready(lw_caller_t *c, const lw_httphead_t *h)
 {
-	bool asked = lw_str_eq_c(h->target, c->set->hub->names->ready_path);
-	bool ready = c->set->ready && !c->set->hub->leaving;
+	bool asked = lw_str_eq_c(h->target, c->set->evloop->names->ready_path);
+	bool ready = c->set->ready && !c->set->evloop->leaving;
 
 	c->body_done = true;
 	if (!asked)
@@ -130,7 +130,7 @@
 	c->body_seen = 0;
 	c->body_done = h->body_length == 0;
 	c->answered = false;
-	c->since_us = c->set->hub->now_us;
+	c->since_us = c->set->evloop->now_us;
 	c->state = c->body_done ? CALLER_WAIT : CALLER_BODY;
 	if (c->ready_only) {
 		serve_ready(c, h);
@@ -172,7 +172,7 @@
 	if (!len)
 		return false;
 	http_parser_init(&c->parser, HTTP_REQUEST);
-	err = lw_httphead_parse(&head, &c->parser, c->set->hub->names, block);
+	err = lw_httphead_parse(&head, &c->parser, c->set->evloop->names, block);
 	if (err || (!head.host.ptr && !c->ready_only)) {
 		c->set->stats.malformed++;
 		lw_caller_reject(c, err == LW_HTTPHEAD_TOO_LARGE ? 431 : 400, "malformed_request");
@@ -225,7 +225,7 @@
 void lw_caller_readable(lw_caller_t *c)
 {
 	if (c->state == CALLER_HEAD && !lw_bytebuf_len(&c->in))
-		c->since_us = c->set->hub->now_us;
+		c->since_us = c->set->evloop->now_us;
 	while (!c->eof && lw_bytebuf_len(&c->in) < AHEAD_MAX_BYTES) {
 		char *room = lw_bytebuf_reserve(&c->in, READ_BYTES);
 		ssize_t n = recv(c->fd, room, READ_BYTES, 0);
--- a/src/callerreply.c
+++ b/src/callerreply.c
@@ -9,16 +9,16 @@
 {
 	c->x = NULL;
 	c->answered = true;
-	if (!c->keep || c->set->hub->leaving)
+	if (!c->keep || c->set->evloop->leaving)
 		c->closing = c->body_done;
 	lw_caller_flush(c);
 	if (!c->closed && c->body_done && !c->starting)
-		ev_feed_event(c->set->hub->loop, &c->io, EV_CUSTOM);
+		ev_feed_event(c->set->evloop->loop, &c->io, EV_CUSTOM);
 }
 
 static void end_head(lw_caller_t *c)
 {
-	if (!c->keep || c->set->hub->leaving) {
+	if (!c->keep || c->set->evloop->leaving) {
 		c->keep = false;
 		lw_bytebuf_append_c(&c->out, "Connection: close\r\n");
 	}
@@ -120,7 +120,7 @@
 				  retry_after_ms % 1000);
 	if (status == 401)
 		lw_bytebuf_printf(&c->out, "WWW-Authenticate: %s\r\n",
-				  c->set->hub->names->credential_scheme);
+				  c->set->evloop->names->credential_scheme);
 	end_head(c);
 	if (!c->is_head)
 		lw_bytebuf_printf(&c->out, "%s\n", why);
@@ -155,7 +155,7 @@
 	lw_caller_t *c = (lw_caller_t *)r;
 
 	if (!c->closed)
-		ev_feed_event(c->set->hub->loop, &c->io, EV_CUSTOM);
+		ev_feed_event(c->set->evloop->loop, &c->io, EV_CUSTOM);
 }
 
 const lw_reply_ops_t lw_caller_reply_ops = {
--- a/src/docfetch.c
+++ b/src/docfetch.c
@@ -6,42 +6,42 @@
 
 #include "xalloc.h"
 
-static void forget_pieces(lw_docfetch_t *f)
+static void discard_pieces(lw_docfetch_t *f)
 {
 	free(f->got.bytes);
 	memset(&f->got, 0, sizeof(f->got));
 	f->expected = 0;
 }
 
-static void end(lw_docfetch_t *f)
+static void end_fetch(lw_docfetch_t *f)
 {
-	forget_pieces(f);
+	discard_pieces(f);
 	f->source = NULL;
 }
 
 /* lw_docfetch_may_begin() - no fetch is under way, or its source does not answer. */
-bool lw_docfetch_may_begin(const lw_docfetch_t *f, uint64_t now_us)
+bool lw_docfetch_can_start(const lw_docfetch_t *f, uint64_t now_us)
 {
-	return !f->source || now_us - f->asked_us > LW_DOCFETCH_WAIT_US;
+	return !f->source || now_us - f->request_us > LW_DOCFETCH_TIMEOUT_US;
 }
 
 /*
  * lw_docfetch_begin() - fetch what @source has newer than @d; send it @ask. A
  * fetch under way is given up.
  */
-void lw_docfetch_begin(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d, uint64_t now_us,
-		       lw_docfetch_ask_t *ask)
+void lw_docfetch_start(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d, uint64_t now_us,
+		       lw_docfetch_request_t *ask)
 {
 	if (f->source)
 		f->failed = f->source;
-	forget_pieces(f);
+	discard_pieces(f);
 	f->source = source;
-	f->asked_us = now_us;
-	*ask = (lw_docfetch_ask_t){ .base = f->whole ? 0 : lw_revdoc_hash(d) };
+	f->request_us = now_us;
+	*ask = (lw_docfetch_request_t){ .base = f->without_base ? 0 : lw_revdoc_hash(d) };
 }
 
 /* whether the piece goes on where the last one ended; a first one always does */
-static bool fits(const lw_docfetch_t *f, const lw_docfetch_piece_t *p)
+static bool piece_fits(const lw_docfetch_t *f, const lw_docfetch_piece_t *p)
 {
 	if (!p->bytes.len || p->of.len > LW_REVDOC_MAX_BYTES ||
 	    p->bytes.len > p->of.len - p->offset)
@@ -52,10 +52,10 @@
 	       p->of.len == f->expected && p->offset == f->got.len;
 }
 
-static void append(lw_docfetch_t *f, const lw_docfetch_piece_t *p)
+static void append_piece(lw_docfetch_t *f, const lw_docfetch_piece_t *p)
 {
 	if (!p->offset) {
-		forget_pieces(f);
+		discard_pieces(f);
 		f->got = p->of;
 		f->got.len = 0;
 		f->got.bytes = NULL;
@@ -71,24 +71,24 @@
  * @ask; with LW_DOCFETCH_DONE @out is the document, to be freed, and
  * piece->of tells its version and length.
  */
-lw_docfetch_step_t lw_docfetch_take(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d,
-				    const lw_docfetch_piece_t *piece, uint64_t now_us,
-				    lw_docfetch_ask_t *ask, char **out)
+lw_docfetch_result_t lw_docfetch_receive(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d,
+					 const lw_docfetch_piece_t *piece, uint64_t now_us,
+					 lw_docfetch_request_t *ask, char **out)
 {
 	lw_status_t st;
 
-	if (source != f->source || piece->offset > piece->of.len || !fits(f, piece))
+	if (source != f->source || piece->offset > piece->of.len || !piece_fits(f, piece))
 		return LW_DOCFETCH_IGNORED;
-	append(f, piece);
-	f->asked_us = now_us;
+	append_piece(f, piece);
+	f->request_us = now_us;
 	if (f->got.len < f->expected) {
-		*ask = (lw_docfetch_ask_t){ f->got.version, f->got.base, f->got.len };
+		*ask = (lw_docfetch_request_t){ f->got.version, f->got.base, f->got.len };
 		return LW_DOCFETCH_MORE;
 	}
 	st = lw_revdoc_decode(d, &f->got, out);
-	f->whole = st != LW_OK;
-	end(f);
-	return st ? LW_DOCFETCH_SPOILED : LW_DOCFETCH_DONE;
+	f->without_base = st != LW_OK;
+	end_fetch(f);
+	return st ? LW_DOCFETCH_CORRUPT : LW_DOCFETCH_DONE;
 }
 
 /* lw_docfetch_source_lost() - nothing more comes from @source. */
@@ -97,7 +97,7 @@
 	if (f->failed == source)
 		f->failed = NULL;
 	if (f->source == source)
-		end(f);
+		end_fetch(f);
 }
 
 /*
@@ -105,7 +105,7 @@
  * into @d. A version that is not the newest any more begins anew with the
  * newest. False if there is none.
  */
-bool lw_docfetch_piece(lw_revdoc_t *d, const lw_docfetch_ask_t *ask, lw_docfetch_piece_t *out)
+bool lw_docfetch_piece(lw_revdoc_t *d, const lw_docfetch_request_t *ask, lw_docfetch_piece_t *out)
 {
 	const lw_revdoc_encoded_t *e = lw_revdoc_encode(d, ask->base);
 	size_t left;
--- a/src/exchadmit.c
+++ b/src/exchadmit.c
@@ -51,7 +51,7 @@
 
 static void set_times(lw_exchange_t *x, const lw_exchange_ask_t *ask, uint32_t timeout_ms)
 {
-	uint64_t now = x->engine->hub->now_us;
+	uint64_t now = x->engine->evloop->now_us;
 	uint32_t deadline = header_ms(ask->head);
 	uint32_t give_up;
 
@@ -69,14 +69,14 @@
 	ev_timer_init(&x->timer, lw_exchange_timeout,
 		      (lw_exchange_left_ms(x, x->give_up_us) + TIMEOUT_SLACK_MS) / 1000.0, 0);
 	x->timer.data = x;
-	ev_timer_start(x->engine->hub->loop, &x->timer);
+	ev_timer_start(x->engine->evloop->loop, &x->timer);
 }
 
 /* what is sent on: a key stays here, and which organisation holds it is said by this node alone */
 static void compose_head(lw_exchange_t *x, const lw_httphead_t *h)
 {
-	const lw_hub_t *hub = x->engine->hub;
-	const char *org_header = hub->names->header[LW_HEADER_ORGANISATION];
+	const lw_evloop_t *evloop = x->engine->evloop;
+	const char *org_header = evloop->names->header[LW_HEADER_ORGANISATION];
 
 	lw_httphead_forward(h, x->engine->conf->orgs != NULL, &x->head);
 	if (x->org[0])
@@ -85,8 +85,8 @@
 			       (lw_str_t){ lw_bytebuf_head(&x->head), lw_bytebuf_len(&x->head) },
 			       org_header);
 	lw_fingerprinter_body(&x->print, (lw_str_t){ NULL, 0 }, x->fin);
-	lw_bytebuf_printf(&x->head, "%s: %s\r\n", hub->names->header[LW_HEADER_CALLER],
-			  hub->set->service);
+	lw_bytebuf_printf(&x->head, "%s: %s\r\n", evloop->names->header[LW_HEADER_CALLER],
+			  evloop->set->service);
 }
 
 /*
@@ -127,7 +127,7 @@
 	*org = NULL;
 	if (!e->conf->orgs || r->open)
 		return LW_IDENTITY_KNOWN;
-	switch (lw_credential_read(h, e->hub->names->credential_scheme, &key)) {
+	switch (lw_credential_read(h, e->evloop->names->credential_scheme, &key)) {
 	case LW_CREDENTIAL_TWICE:
 		return LW_IDENTITY_AMBIGUOUS;
 	case LW_CREDENTIAL_KEY:
@@ -196,12 +196,12 @@
 	lw_engine_t *e = x->engine;
 	lw_hot_t hot;
 
-	x->rank = lw_hotpath_weighed(e->hotpath, x->route, x->rank, e->hub->now_us);
-	if (lw_hotpath_admits(e->hotpath, x->route, x->rank, e->hub->now_us, &hot))
+	x->rank = lw_hotpath_weighed(e->hotpath, x->route, x->rank, e->evloop->now_us);
+	if (lw_hotpath_admits(e->hotpath, x->route, x->rank, e->evloop->now_us, &hot))
 		return true;
 	lw_log(LW_LOG_path_busy, "id=%s route=%s rank=%u by=%s level=%u", x->request_id, x->route,
 	       x->rank, hot.service, hot.level);
-	x->limited = lw_place_limited(&e->place, hot.service, e->hub->now_us);
+	x->limited = lw_place_limited(&e->place, hot.service, e->evloop->now_us);
 	lw_exchange_refuse(x, LW_FAIL_PATH_BUSY);
 	return false;
 }
@@ -212,7 +212,7 @@
 	lw_engine_t *e = x->engine;
 	lw_quota_verdict_t v;
 
-	lw_quota_take(e->quota, org, e->hub->now_us, &v);
+	lw_quota_take(e->quota, org, e->evloop->now_us, &v);
 	x->counted = v.admitted;
 	if (v.admitted)
 		return true;
@@ -228,7 +228,7 @@
 /* false: the request was refused */
 static bool may_begin(lw_exchange_t *x, const lw_organisation_t *org)
 {
-	if (x->engine->hub->callers_refused && !x->parent_id.len) {
+	if (x->engine->evloop->callers_refused && !x->parent_id.len) {
 		lw_exchange_refuse(x, LW_FAIL_LEAVING);
 		return false;
 	}
@@ -298,8 +298,8 @@
 	if (!settle_terms(x, ask, &org) || !may_begin(x, org))
 		return NULL;
 	compose_head(x, ask->head);
-	lw_retrylimit_request(&x->service->retries, &e->place.terms, e->hub->now_us);
+	lw_retrylimit_request(&x->service->retries, &e->place.terms, e->evloop->now_us);
 	if (x->repeat)
-		lw_retrylimit_repeat(&x->service->retries, &e->place.terms, e->hub->now_us);
+		lw_retrylimit_repeat(&x->service->retries, &e->place.terms, e->evloop->now_us);
 	return x;
 }
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -15,13 +15,13 @@
 	const lw_exchange_t *x = e->exchanges;
 
 	/* one that is just being taken up has no time yet */
-	return x ? e->hub->now_us - (x->started_us ? x->started_us : e->hub->now_us) + 1 : 0;
+	return x ? e->evloop->now_us - (x->started_us ? x->started_us : e->evloop->now_us) + 1 : 0;
 }
 
 /* lw_exchange_left_ms() - milliseconds until @until_us, 0 if it has passed. */
 uint32_t lw_exchange_left_ms(const lw_exchange_t *x, uint64_t until_us)
 {
-	uint64_t now = x->engine->hub->now_us;
+	uint64_t now = x->engine->evloop->now_us;
 
 	return until_us > now ? (uint32_t)((until_us - now) / 1000) : 0;
 }
@@ -39,17 +39,17 @@
 	x->dead = true;
 	if (x->started_us)
 		lw_histogram_add(x->nested ? &stats->latency_nested : &stats->latency_user,
-				 x->engine->hub->now_us - x->started_us);
+				 x->engine->evloop->now_us - x->started_us);
 	x->reply = NULL;
-	ev_timer_stop(x->engine->hub->loop, &x->timer);
-	ev_timer_stop(x->engine->hub->loop, &x->hold);
+	ev_timer_stop(x->engine->evloop->loop, &x->timer);
+	ev_timer_stop(x->engine->evloop->loop, &x->hold);
 	x->engine->active--;
 	DL_DELETE(x->engine->exchanges, x);
 	lw_bytebuf_free(&x->head);
 	lw_bytebuf_free(&x->body);
 	free(x->request_id);
 	x->request_id = NULL;
-	lw_hub_free_later(x->engine->hub, x);
+	lw_evloop_free_later(x->engine->evloop, x);
 }
 
 /* lw_exchange_count() - the request has ended so, by its route. */
@@ -63,10 +63,10 @@
 void lw_exchange_attempt_ended(lw_exchange_t *x, bool ok)
 {
 	x->call = NULL;
-	ev_timer_stop(x->engine->hub->loop, &x->stall);
+	ev_timer_stop(x->engine->evloop->loop, &x->stall);
 	if (x->host) {
 		lw_str_copy(x->last, sizeof(x->last), lw_str_c(x->host->id));
-		lw_place_ended(x->host, ok, x->engine->hub->now_us);
+		lw_place_ended(x->host, ok, x->engine->evloop->now_us);
 	}
 	x->host = NULL;
 }
@@ -98,7 +98,7 @@
 	       x->request_id, x->route, x->org[0] ? x->org : "none", x->service->name,
 	       (unsigned long long)x->engine->conf->version, x->rank, status, lw_fail_name(why),
 	       x->attempts.given, x->attempts.handed_back, x->attempts.maybe_ran,
-	       (uint32_t)((x->engine->hub->now_us - x->started_us) / 1000), retry_after_ms,
+	       (uint32_t)((x->engine->evloop->now_us - x->started_us) / 1000), retry_after_ms,
 	       x->last[0] ? x->last : "none", x->limited, (unsigned long long)x->print.value.whole);
 	lw_exchange_tell_parent(x);
 	lw_exchange_release(x);
@@ -111,7 +111,7 @@
 {
 	uint32_t room = x->room_ms ? x->room_ms : LW_COMEBACK_DEFAULT_MS;
 	uint32_t ms = lw_comeback_ms(room, x->priority, lw_exchange_left_ms(x, x->deadline_us),
-				     lw_hub_random(x->engine->hub, UINT32_MAX));
+				     lw_evloop_random(x->engine->evloop, UINT32_MAX));
 
 	/* all that held it are certain to refuse it until then */
 	if (why == LW_FAIL_HELD) {
@@ -119,7 +119,7 @@
 		ms = room;
 	}
 	if (x->counted)
-		lw_quota_refund(x->engine->quota, x->org_id, x->engine->hub->now_us);
+		lw_quota_refund(x->engine->quota, x->org_id, x->engine->evloop->now_us);
 	x->engine->stats.refused++;
 	x->engine->stats.over_limit += why == LW_FAIL_OVER_LIMIT;
 	lw_exchange_count(x, LW_ROUTE_REFUSED);
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -14,7 +14,7 @@
 #include "histogram.h"
 #include "httphead.h"
 #include "hotpath.h"
-#include "hub.h"
+#include "evloop.h"
 #include "mesh.h"
 #include "place.h"
 #include "quota.h"
@@ -63,7 +63,7 @@
 
 /* What all exchanges share. */
 typedef struct lw_engine {
-	lw_hub_t *hub;
+	lw_evloop_t *evloop;
 	lw_place_t place;
 	lw_gate_t gate;
 	lw_mesh_t *mesh;
--- a/src/exchattempt.c
+++ b/src/exchattempt.c
@@ -27,7 +27,7 @@
 void lw_exchange_log_retry(const lw_exchange_t *x, lw_fail_t last)
 {
 	const lw_place_host_t *h = x->host;
-	uint64_t now = x->engine->hub->now_us;
+	uint64_t now = x->engine->evloop->now_us;
 
 	lw_log(LW_LOG_request_retried,
 	       "id=%s route=%s after=%s server=%s busy=%u limit=%u news_ms=%llu given=%u handed_back=%u left_ms=%u",
@@ -39,9 +39,10 @@
 /* lw_exchange_choice() - what the choice of a host depends on now. */
 lw_place_ask_t lw_exchange_choice(const lw_exchange_t *x)
 {
-	lw_hub_t *hub = x->engine->hub;
+	lw_evloop_t *evloop = x->engine->evloop;
 
-	return (lw_place_ask_t){ hub->now_us, x->body_length, lw_hub_random(hub, UINT32_MAX) };
+	return (lw_place_ask_t){ evloop->now_us, x->body_length,
+				 lw_evloop_random(evloop, UINT32_MAX) };
 }
 
 static void watch_for_stall(lw_exchange_t *x)
@@ -55,7 +56,7 @@
 		after_us = STALL_LEAST_US;
 	ev_timer_init(&x->stall, lw_exchange_stalled, (double)after_us / 1e6, 0);
 	x->stall.data = x;
-	ev_timer_start(x->engine->hub->loop, &x->stall);
+	ev_timer_start(x->engine->evloop->loop, &x->stall);
 }
 
 static void fill_ask(const lw_exchange_t *x, lw_ask_t *ask)
@@ -103,7 +104,7 @@
 
 	lw_str_copy(hot.service, sizeof(hot.service), lw_str_c(x->service->name));
 	lw_hots_add(&shut.hots, &hot);
-	lw_hotpath_told(e->hotpath, x->route, &shut.hots, 0, e->hub->now_us);
+	lw_hotpath_told(e->hotpath, x->route, &shut.hots, 0, e->evloop->now_us);
 	if (x->parent_id.len)
 		lw_gate_note_call(&e->gate, x->parent_id, &shut);
 }
@@ -115,13 +116,13 @@
 	uint64_t hold_us = (uint64_t)x->target_ms * percent * 10;
 
 	if (x->attempts.given ||
-	    x->engine->hub->now_us - x->started_us + HOLD_STEP_MS * 1000 >= hold_us)
+	    x->engine->evloop->now_us - x->started_us + HOLD_STEP_MS * 1000 >= hold_us)
 		return false;
 	x->held_for = last;
 	x->attempts.handed_back = 0;
 	ev_timer_init(&x->hold, lw_exchange_hold_over, HOLD_STEP_MS / 1000.0, 0);
 	x->hold.data = x;
-	ev_timer_start(x->engine->hub->loop, &x->hold);
+	ev_timer_start(x->engine->evloop->loop, &x->hold);
 	return true;
 }
 
--- a/src/exchdetain.c
+++ b/src/exchdetain.c
@@ -10,13 +10,13 @@
 lw_quarantine_verdict_t lw_exchange_verdict(const lw_exchange_t *x)
 {
 	return lw_quarantine_verdict(x->engine->quarantine, &x->print.value,
-				     x->engine->hub->now_us);
+				     x->engine->evloop->now_us);
 }
 
 static void hold_back(lw_exchange_t *x)
 {
 	x->room_ms = lw_quarantine_held_ms(x->engine->quarantine, &x->print.value,
-					   x->engine->hub->now_us);
+					   x->engine->evloop->now_us);
 	lw_log(LW_LOG_request_held, "id=%s route=%s print=%016llx for_ms=%u given=%u",
 	       x->request_id, x->route, (unsigned long long)x->print.value.whole, x->room_ms,
 	       x->attempts.given);
@@ -31,7 +31,7 @@
 
 	if (!x->tried.n && !x->attempts.given)
 		host = lw_place_pick_trial(x->service, s->print.whole, s->end, s->nends,
-					   x->engine->hub->now_us);
+					   x->engine->evloop->now_us);
 	if (host)
 		lw_exchange_attempt_at(x, host, last);
 	else if (!lw_exchange_wait_for_host(x, last))
@@ -72,7 +72,7 @@
 	x->heard_of_ends = true;
 	ev_timer_init(&x->hold, on_word_due, WORD_WAIT_S, 0);
 	x->hold.data = x;
-	ev_timer_start(x->engine->hub->loop, &x->hold);
+	ev_timer_start(x->engine->evloop->loop, &x->hold);
 	return true;
 }
 
@@ -84,10 +84,10 @@
 	if (!x->answered_well)
 		return;
 	news = lw_quarantine_answered(x->engine->quarantine, &x->print.value,
-				      x->engine->hub->now_us);
+				      x->engine->evloop->now_us);
 	if (!news)
 		return;
 	lw_log(LW_LOG_suspect_changed, "print=%016llx ends=0 trials=0 held_ms=0 by=answer",
 	       (unsigned long long)x->print.value.whole);
-	lw_mesh_tell_suspect(x->engine->mesh, news);
+	lw_mesh_broadcast_suspect(x->engine->mesh, news);
 }
--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -18,7 +18,7 @@
 		.used_below = lw_hotpath_retry_used(e->hotpath, x->route),
 	};
 
-	if (lw_retrylimit_take(&x->service->retries, &e->place.terms, &at, e->hub->now_us)) {
+	if (lw_retrylimit_take(&x->service->retries, &e->place.terms, &at, e->evloop->now_us)) {
 		e->stats.retries++;
 		return true;
 	}
@@ -106,16 +106,16 @@
 {
 	lw_engine_t *e = x->engine;
 	uint32_t used = lw_retrylimit_used(&x->service->retries, &e->place.terms, e->place.nsharing,
-					   e->hub->now_us);
+					   e->evloop->now_us);
 	lw_load_t path = *load;
 
-	if (x->host && lw_place_told(x->host, load, e->hub->now_us))
+	if (x->host && lw_place_told(x->host, load, e->evloop->now_us))
 		lw_log(LW_LOG_server_leaving, "server=%s by=node", x->host->id);
-	lw_place_tell(x->service, load->ran_us, e->hub->now_us, &path.hots);
-	lw_hotpath_told(e->hotpath, x->route, &path.hots, path.depth, e->hub->now_us);
+	lw_place_tell(x->service, load->ran_us, e->evloop->now_us, &path.hots);
+	lw_hotpath_told(e->hotpath, x->route, &path.hots, path.depth, e->evloop->now_us);
 	if (served && !x->nested)
 		lw_hotpath_worked(e->hotpath, x->route, x->rank / LW_RANKS_PER_PRIORITY, &path.hots,
-				  e->hub->now_us);
+				  e->evloop->now_us);
 	lw_hotpath_used(e->hotpath, x->route, path.retry_used);
 	if (used > path.retry_used)
 		path.retry_used = used;
@@ -132,7 +132,7 @@
 {
 	lw_notice_said_t said = { 0 };
 
-	lw_notice_in_head(&said, a->head, x->engine->hub->names);
+	lw_notice_in_head(&said, a->head, x->engine->evloop->names);
 	if (said.leaving && x->host && lw_place_leaves(x->host))
 		lw_log(LW_LOG_server_leaving, "server=%s by=passed_on", x->host->id);
 }
@@ -141,7 +141,7 @@
 {
 	lw_engine_t *e = x->engine;
 
-	lw_place_replaced(x->host, e->hub->now_us);
+	lw_place_replaced(x->host, e->evloop->now_us);
 	if (e->list_is_old)
 		e->list_is_old(e->ctx);
 }
@@ -294,7 +294,7 @@
 /* look again in a moment whether another server has room */
 static void watch_for_room(lw_exchange_t *x)
 {
-	struct ev_loop *loop = x->engine->hub->loop;
+	struct ev_loop *loop = x->engine->evloop->loop;
 
 	ev_timer_stop(loop, &x->stall);
 	ev_timer_init(&x->stall, lw_exchange_stalled, STALL_AGAIN_S, 0);
@@ -375,6 +375,6 @@
 
 	(void)loop;
 	(void)revents;
-	if (!x->engine->hub->leaving && !x->dead && !x->answering)
+	if (!x->engine->evloop->leaving && !x->dead && !x->answering)
 		give_up_for_room(x, true);
 }
--- a/src/gate.c
+++ b/src/gate.c
@@ -44,8 +44,8 @@
 	out->queued = (uint32_t)g->queue.len;
 	out->limit = g->refusing ? 0 : g->limit;
 	out->service_us = (uint32_t)g->service_us;
-	out->leaving = lw_gate_leaving(g) || g->refusing || g->hub->peers_told;
-	out->down = g->hub->now_us < g->down_until_us;
+	out->leaving = lw_gate_leaving(g) || g->refusing || g->evloop->peers_told;
+	out->down = g->evloop->now_us < g->down_until_us;
 	out->call_failed = false;
 	out->ran_us = 0;
 	out->depth = 0;
@@ -107,7 +107,7 @@
 	if (!g->tells_load || g->running <= known)
 		return;
 	for (const lw_job_t *j = g->by_id; j; j = j->hh.next)
-		overdue += j->started_us && g->hub->now_us - j->started_us > limit_us;
+		overdue += j->started_us && g->evloop->now_us - j->started_us > limit_us;
 	g->lost = overdue < g->running - known ? overdue : g->running - known;
 }
 
@@ -115,7 +115,7 @@
 static double longest_run_us(const lw_gate_t *g)
 {
 	return g->longest_us *
-	       exp2(-(double)(g->hub->now_us - g->longest_at_us) / LONGEST_HALVES_US);
+	       exp2(-(double)(g->evloop->now_us - g->longest_at_us) / LONGEST_HALVES_US);
 }
 
 /* lw_gate_ran() - a run took @took_us. */
@@ -124,16 +124,16 @@
 	if ((double)took_us < longest_run_us(g))
 		return;
 	g->longest_us = (double)took_us;
-	g->longest_at_us = g->hub->now_us;
+	g->longest_at_us = g->evloop->now_us;
 }
 
 /* whether a request that starts after @wait_us is over before this process exits */
 static bool ends_in_time(const lw_gate_t *g, uint64_t wait_us, uint64_t deadline_us)
 {
-	const lw_hub_t *hub = g->hub;
-	uint64_t left_us = hub->exit_us > hub->now_us ? hub->exit_us - hub->now_us : 0;
+	const lw_evloop_t *evloop = g->evloop;
+	uint64_t left_us = evloop->exit_us > evloop->now_us ? evloop->exit_us - evloop->now_us : 0;
 
-	return !hub->exit_us ||
+	return !evloop->exit_us ||
 	       lw_stopplan_takes(left_us, wait_us, (uint64_t)longest_run_us(g), deadline_us);
 }
 
@@ -141,7 +141,7 @@
 static void start_next(lw_gate_t *g)
 {
 	lw_job_t *j = JOB_OF_WAITER(g->queue.first);
-	uint64_t now_us = g->hub->now_us;
+	uint64_t now_us = g->evloop->now_us;
 	uint64_t left_us = j->deadline_us > now_us ? j->deadline_us - now_us : 0;
 
 	if (!ends_in_time(g, 0, left_us)) {
@@ -156,10 +156,11 @@
 /* lw_gate_dispatch() - start what may start now */
 void lw_gate_dispatch(lw_gate_t *g)
 {
-	while (g->queue.first && occupied(g) < g->limit && lw_pace_ready(&g->pace, g->hub->now_us))
+	while (g->queue.first && occupied(g) < g->limit &&
+	       lw_pace_ready(&g->pace, g->evloop->now_us))
 		start_next(g);
 	if (!g->queue.first)
-		ev_timer_stop(g->hub->loop, &g->expiry);
+		ev_timer_stop(g->evloop->loop, &g->expiry);
 }
 
 static void on_expiry(struct ev_loop *loop, ev_timer *w, int revents)
@@ -169,7 +170,7 @@
 
 	(void)loop;
 	(void)revents;
-	while ((x = lw_waitq_expired(&g->queue, g->hub->now_us)) != NULL)
+	while ((x = lw_waitq_expired(&g->queue, g->evloop->now_us)) != NULL)
 		lw_job_fail(JOB_OF_WAITER(x), LW_FAIL_EXPIRED);
 	lw_gate_dispatch(g);
 }
@@ -183,7 +184,7 @@
 	if (!ends_in_time(g, (uint64_t)lw_admit_expected_wait_ms(st) * 1000,
 			  (uint64_t)ask->deadline_ms * 1000))
 		return LW_FAIL_LEAVING;
-	if (g->hub->now_us < g->down_until_us)
+	if (g->evloop->now_us < g->down_until_us)
 		return LW_FAIL_NO_SERVER;
 	if (ask->target.len && lw_str_eq_c(ask->target, g->replaced_id))
 		return LW_FAIL_NO_SERVER;
@@ -199,8 +200,8 @@
 	return (lw_waiter_t){
 		.priority = ask->rank / LW_RANKS_PER_PRIORITY,
 		.late = left_us < (uint64_t)g->service_us,
-		.target_us = g->hub->now_us + left_us,
-		.expires_us = g->hub->now_us + (uint64_t)lw_admit_wait_ms(st, ask) * 1000,
+		.target_us = g->evloop->now_us + left_us,
+		.expires_us = g->evloop->now_us + (uint64_t)lw_admit_wait_ms(st, ask) * 1000,
 	};
 }
 
@@ -230,17 +231,17 @@
 	lw_admit_state_t st;
 	lw_job_t *j;
 
-	lw_fingerprinter_begin(&print, ask->head, g->hub->names->header[LW_HEADER_ORGANISATION]);
+	lw_fingerprinter_begin(&print, ask->head, g->evloop->names->header[LW_HEADER_ORGANISATION]);
 	lw_fingerprinter_body(&print, body, fin);
 	lw_gate_take_word(g, &ask->notice);
-	verdict = lw_quarantine_verdict(g->quarantine, &print.value, g->hub->now_us);
+	verdict = lw_quarantine_verdict(g->quarantine, &print.value, g->evloop->now_us);
 	lw_level_arrival(&g->level, ask->rank);
 	if (!ev_is_active(&g->step))
-		ev_timer_again(g->hub->loop, &g->step);
+		ev_timer_again(g->evloop->loop, &g->step);
 	own_load(g, &st.load);
 	probe = waiter_of(g, &st, ask);
 	st.ahead = (uint32_t)lw_waitq_ahead(&g->queue, &probe);
-	st.pace_ms = lw_pace_wait_ms(&g->pace, st.ahead, g->hub->now_us);
+	st.pace_ms = lw_pace_wait_ms(&g->pace, st.ahead, g->evloop->now_us);
 	*retry_after_ms = lw_admit_retry_after_ms(&st.load);
 	*why = refusal(g, &st, ask);
 	if (!*why && !may_be_given(g, verdict, &print.value))
@@ -259,14 +260,15 @@
 	lw_bytebuf_append_str(&j->body, body);
 	g->ncalls++;
 	HASH_ADD_KEYPTR(hh, g->by_id, j->request_id, strlen(j->request_id), j);
-	if (occupied(g) < g->limit && !g->queue.first && lw_pace_ready(&g->pace, g->hub->now_us)) {
+	if (occupied(g) < g->limit && !g->queue.first &&
+	    lw_pace_ready(&g->pace, g->evloop->now_us)) {
 		lw_job_start(j);
 		return &j->call;
 	}
 	j->waiter = probe;
 	g->queued_bytes += body.len;
 	lw_waitq_push(&g->queue, &j->waiter);
-	ev_timer_again(g->hub->loop, &g->expiry);
+	ev_timer_again(g->evloop->loop, &g->expiry);
 	return &j->call;
 }
 
@@ -274,7 +276,7 @@
 uint64_t lw_gate_oldest_us(const lw_gate_t *g)
 {
 	/* the table keeps the order of insertion */
-	return g->by_id ? g->hub->now_us - g->by_id->came_us + 1 : 0;
+	return g->by_id ? g->evloop->now_us - g->by_id->came_us + 1 : 0;
 }
 
 /* lw_gate_hand_back() - what waits goes back unrun. */
@@ -292,11 +294,11 @@
  */
 void lw_gate_server_down(lw_gate_t *g)
 {
-	if (g->hub->now_us < g->down_until_us) {
+	if (g->evloop->now_us < g->down_until_us) {
 		lw_gate_look_down(g);
 		return;
 	}
-	g->down_until_us = g->hub->now_us + DOWN_US;
+	g->down_until_us = g->evloop->now_us + DOWN_US;
 	lw_log(LW_LOG_backend_error, "server=%s why=no_connection queued=%zu", g->server_id,
 	       g->queue.len);
 	lw_gate_hand_back(g, LW_FAIL_NO_SERVER);
@@ -432,10 +434,10 @@
 }
 
 /* lw_gate_init() - a gate in front of the backend server of the settings. */
-void lw_gate_init(lw_gate_t *g, lw_hub_t *hub, lw_quarantine_t *quarantine)
+void lw_gate_init(lw_gate_t *g, lw_evloop_t *evloop, lw_quarantine_t *quarantine)
 {
 	memset(g, 0, sizeof(*g));
-	g->hub = hub;
+	g->evloop = evloop;
 	g->quarantine = quarantine;
 	g->limit = lw_admit_limit(0);
 	g->service_us = SERVICE_FIRST_US;
@@ -445,5 +447,5 @@
 	lw_gate_look_init(g);
 	ev_timer_init(&g->step, on_step, 0, LW_LEVEL_STEP_MS / 1000.0);
 	g->step.data = g;
-	lw_hub_on_tick(hub, lw_gate_close_old_idle, g);
+	lw_evloop_on_tick(evloop, lw_gate_close_old_idle, g);
 }
--- a/src/gate.h
+++ b/src/gate.h
@@ -14,7 +14,7 @@
 #include "call.h"
 #include "fingerprint.h"
 #include "histogram.h"
-#include "hub.h"
+#include "evloop.h"
 #include "level.h"
 #include "notice.h"
 #include "pace.h"
@@ -52,7 +52,7 @@
 } lw_crash_t;
 
 typedef struct lw_gate {
-	lw_hub_t *hub;
+	lw_evloop_t *evloop;
 	uint32_t slots; /* of the backend server; 0: not known yet */
 	uint32_t limit; /* most requests at the backend server at once */
 	uint32_t running; /* requests given to it without an answer yet */
@@ -100,7 +100,7 @@
 	uint64_t target_us; /* when the user request misses its objective */
 } lw_gate_parent_t;
 
-void lw_gate_init(lw_gate_t *g, lw_hub_t *hub, lw_quarantine_t *quarantine);
+void lw_gate_init(lw_gate_t *g, lw_evloop_t *evloop, lw_quarantine_t *quarantine);
 void lw_gate_set_server(lw_gate_t *g, const lw_place_host_t *server);
 void lw_gate_set_leaving(lw_gate_t *g, bool leaving);
 bool lw_gate_leaving(const lw_gate_t *g);
--- a/src/gateconn.c
+++ b/src/gateconn.c
@@ -56,7 +56,7 @@
 	lw_gate_t *g = ctx;
 
 	for (lw_bconn_t *c = g->idle; c; c = c->next)
-		if (g->hub->now_us - c->idle_since_us > idle_limit_us(c))
+		if (g->evloop->now_us - c->idle_since_us > idle_limit_us(c))
 			lw_bconn_close(c);
 	on_idle_end(g);
 }
@@ -69,7 +69,7 @@
  */
 static bool has_ended(const lw_gate_t *g, const lw_bconn_t *c)
 {
-	return g->hub->now_us - c->idle_since_us > USED_JUST_NOW_US && lw_sock_stale(c->fd);
+	return g->evloop->now_us - c->idle_since_us > USED_JUST_NOW_US && lw_sock_stale(c->fd);
 }
 
 /* lw_gate_take_connection() - an idle connection or a new one; NULL if none can be begun. */
@@ -86,5 +86,5 @@
 		lw_bconn_close(c);
 	}
 	g->stats.connections++;
-	return lw_bconn_open(g->hub, g->hub->set->backend);
+	return lw_bconn_open(g->evloop, g->evloop->set->backend);
 }
--- a/src/gatecrash.c
+++ b/src/gatecrash.c
@@ -42,7 +42,7 @@
 {
 	lw_crash_t *c = &g->crash;
 
-	close_look(c, g->hub->loop);
+	close_look(c, g->evloop->loop);
 	if (ended) {
 		lw_log(LW_LOG_server_ended, "server=%s in_hand=%u known=%u", g->server_id,
 		       c->in_hand, c->nsuspects);
@@ -86,7 +86,7 @@
 
 	(void)revents;
 	if (ev_is_active(&c->io) || shows_life(g) ||
-	    lw_sock_start_connect(g->hub->set->backend, &fd)) {
+	    lw_sock_start_connect(g->evloop->set->backend, &fd)) {
 		settle(g, false);
 		return;
 	}
@@ -103,8 +103,8 @@
 	lw_crash_t *c = &g->crash;
 	bool looking = ev_is_active(&c->due);
 
-	if (!looking && g->hub->now_us - c->since_us > SAME_END_US) {
-		c->since_us = g->hub->now_us;
+	if (!looking && g->evloop->now_us - c->since_us > SAME_END_US) {
+		c->since_us = g->evloop->now_us;
 		c->nsuspects = 0;
 		c->in_hand = 0;
 	}
@@ -115,7 +115,7 @@
 	if (looking)
 		return;
 	ev_timer_set(&c->due, LOOK_AFTER_S, 0);
-	ev_timer_start(g->hub->loop, &c->due);
+	ev_timer_start(g->evloop->loop, &c->due);
 }
 
 /* lw_gate_look_down() - the server refuses connections: what broke just now broke at its end. */
--- a/src/gatejob.c
+++ b/src/gatejob.c
@@ -21,7 +21,7 @@
 {
 	lw_gate_load(j->gate, out);
 	out->call_failed = j->call_failed;
-	out->ran_us = j->started_us ? (uint32_t)(j->gate->hub->now_us - j->started_us) : 0;
+	out->ran_us = j->started_us ? (uint32_t)(j->gate->evloop->now_us - j->started_us) : 0;
 	out->depth = j->depth;
 	out->retry_used = j->retry_used;
 	for (uint32_t i = 0; i < j->hots.n; i++)
@@ -35,7 +35,7 @@
 	if (j->dead)
 		return;
 	j->dead = true;
-	ev_timer_stop(g->hub->loop, &j->timer);
+	ev_timer_stop(g->evloop->loop, &j->timer);
 	if (j->started_us) {
 		g->running--;
 	} else {
@@ -50,7 +50,7 @@
 	lw_bytebuf_free(&j->answer_head_text);
 	free(j->request_id);
 	j->request_id = NULL;
-	lw_hub_free_later(g->hub, j);
+	lw_evloop_free_later(g->evloop, j);
 }
 
 /*
@@ -78,8 +78,8 @@
 	       "id=%s server=%s why=%s print=%016llx ran_ms=%llu waited_ms=%llu running=%u queued=%zu limit=%u",
 	       j->request_id, j->target, lw_fail_name(why),
 	       (unsigned long long)j->print.value.whole,
-	       j->started_us ? (unsigned long long)((g->hub->now_us - j->started_us) / 1000) : 0,
-	       (unsigned long long)(((j->started_us ? j->started_us : g->hub->now_us) -
+	       j->started_us ? (unsigned long long)((g->evloop->now_us - j->started_us) / 1000) : 0,
+	       (unsigned long long)(((j->started_us ? j->started_us : g->evloop->now_us) -
 				     j->came_us) /
 				    1000),
 	       g->running, g->queue.len, g->limit);
@@ -189,7 +189,7 @@
 	lw_job_t *j = user;
 	lw_gate_t *g = j->gate;
 	lw_bconn_t *c = j->conn;
-	uint64_t took = g->hub->now_us - j->started_us;
+	uint64_t took = g->evloop->now_us - j->started_us;
 
 	/* a request that is not read to its end leaves bytes the server may misread */
 	if (!j->fin || j->unacked)
@@ -269,14 +269,14 @@
 
 static uint32_t time_left_ms(const lw_job_t *j)
 {
-	uint64_t now = j->gate->hub->now_us;
+	uint64_t now = j->gate->evloop->now_us;
 
 	return j->deadline_us > now ? (uint32_t)((j->deadline_us - now) / 1000) : 0;
 }
 
 static void send_head(lw_job_t *j)
 {
-	const lw_wirenames_t *names = j->gate->hub->names;
+	const lw_wirenames_t *names = j->gate->evloop->names;
 	lw_bytebuf_t *h = &j->head;
 	const char *method = lw_bytebuf_head(h);
 
@@ -297,10 +297,10 @@
 		lw_bytebuf_len(&j->head) > 5 && memcmp(lw_bytebuf_head(&j->head), "HEAD ", 5) == 0;
 
 	j->conn = lw_gate_take_connection(g);
-	j->started_us = g->hub->now_us;
+	j->started_us = g->evloop->now_us;
 	g->running++;
 	g->since_told++;
-	lw_pace_take(&g->pace, g->hub->now_us);
+	lw_pace_take(&g->pace, g->evloop->now_us);
 	if (!j->conn) {
 		lw_job_fail(j, LW_FAIL_NO_SERVER);
 		return;
@@ -317,7 +317,7 @@
 	ev_timer_init(&j->timer, on_job_timeout, 0, 0);
 	ev_timer_set(&j->timer, (time_left_ms(j) + DEADLINE_SLACK_MS) / 1000.0, 0);
 	j->timer.data = j;
-	ev_timer_start(g->hub->loop, &j->timer);
+	ev_timer_start(g->evloop->loop, &j->timer);
 	lw_bconn_flush(j->conn);
 }
 
@@ -383,9 +383,9 @@
 	j->call.sink = sink;
 	j->gate = g;
 	j->body_length = ask->body_length;
-	j->came_us = g->hub->now_us;
-	j->deadline_us = g->hub->now_us + (uint64_t)ask->deadline_ms * 1000;
-	j->target_us = g->hub->now_us + (uint64_t)ask->target_left_ms * 1000;
+	j->came_us = g->evloop->now_us;
+	j->deadline_us = g->evloop->now_us + (uint64_t)ask->deadline_ms * 1000;
+	j->target_us = g->evloop->now_us + (uint64_t)ask->target_left_ms * 1000;
 	j->window = LW_CALL_WINDOW;
 	j->rank = ask->rank;
 	j->repeat = ask->repeat;
--- a/src/gatenotice.c
+++ b/src/gatenotice.c
@@ -8,7 +8,7 @@
 /* the limit that was heard of is kept from now on */
 static void set_pace(lw_gate_t *g, uint64_t server)
 {
-	lw_pace_set(&g->pace, g->named.on, g->named.per_s, g->hub->now_us);
+	lw_pace_set(&g->pace, g->named.on, g->named.per_s, g->evloop->now_us);
 	g->notice.server = server;
 	g->notice.limited = g->named.on;
 	g->notice.limit_per_s = g->named.per_s;
@@ -29,7 +29,7 @@
 {
 	memset(&g->notice, 0, sizeof(g->notice));
 	memset(&g->named, 0, sizeof(g->named));
-	lw_pace_set(&g->pace, false, 0, g->hub->now_us);
+	lw_pace_set(&g->pace, false, 0, g->evloop->now_us);
 }
 
 static void heard_leaving(lw_gate_t *g)
@@ -49,7 +49,7 @@
 void lw_gate_heard(lw_gate_t *g, const lw_notice_said_t *said, uint64_t sent_us)
 {
 	g->stats.invalid_limits += said->limit_invalid;
-	if (lw_notice_limit_hear(&g->named, said, sent_us, g->hub->now_us))
+	if (lw_notice_limit_hear(&g->named, said, sent_us, g->evloop->now_us))
 		set_pace(g, g->notice.server);
 	if (said->leaving && !g->notice.leaving)
 		heard_leaving(g);
--- a/src/heartbeat.c
+++ b/src/heartbeat.c
@@ -38,7 +38,7 @@
 }
 
 /* lw_heartbeat_heard() - a peer told its state, in a ping or a pong. */
-void lw_heartbeat_heard(lw_node_t *n, const Lw__Ping *ping)
+void lw_heartbeat_received(lw_node_t *n, const Lw__Ping *ping)
 {
 	lw_event_t ev = { .kind = LW_EV_PEER_STATE,
 			  .incarnation = ping->incarnation,
@@ -72,12 +72,12 @@
 		if (strcmp(reply->pong->sender, addr) != 0)
 			lw_log(LW_LOG_peer_address, "listed=%s advertised=%s", addr,
 			       reply->pong->sender);
-		lw_heartbeat_heard(n, reply->pong);
+		lw_heartbeat_received(n, reply->pong);
 	}
 	lw_frame_free(reply);
 }
 
-static bool worth_watching(const lw_peer_t *p, uint64_t now)
+static bool should_watch(const lw_peer_t *p, uint64_t now)
 {
 	lw_peer_state_t s = lw_peer_state(p, now);
 
@@ -100,7 +100,7 @@
 		memcpy(addrs[found++], p->addr, LW_NAME_MAX);
 	for (size_t i = 0; i < count && found < max; i++) {
 		p = lw_peerset_get(ps, (int)((*turn + i) % count));
-		if (worth_watching(p, now))
+		if (should_watch(p, now))
 			memcpy(addrs[found++], p->addr, LW_NAME_MAX);
 	}
 	*turn += 1;
@@ -136,7 +136,7 @@
  * longer than JOIN_MAX_MS, so that a fleet started as a whole, or without
  * the service, comes up too.
  */
-static void join_fleet(lw_node_t *n)
+static void sync_before_serving(lw_node_t *n)
 {
 	uint64_t until = lw_now_ms() + JOIN_MAX_MS;
 
@@ -162,7 +162,7 @@
 	lw_node_t *n = arg;
 	size_t turn = 0;
 
-	join_fleet(n);
+	sync_before_serving(n);
 	while (!__atomic_load_n(&n->stopping, __ATOMIC_RELAXED)) {
 		char addrs[1 + WATCHED_MAX][LW_NAME_MAX];
 		size_t count = choose(n, addrs, 1 + WATCHED_MAX, &turn);
@@ -187,17 +187,17 @@
 	pthread_detach(t);
 }
 
-typedef struct tell {
+typedef struct notify_job {
 	lw_node_t *n;
 	char (*addrs)[LW_NAME_MAX];
 	size_t count;
 	size_t next; /* atomic: taken by DRAIN_THREADS threads */
 	int users;
-} tell_t;
+} notify_job_t;
 
-static void *tell_main(void *arg)
+static void *notify_main(void *arg)
 {
-	tell_t *t = arg;
+	notify_job_t *t = arg;
 	size_t i;
 
 	while ((i = __atomic_fetch_add(&t->next, 1, __ATOMIC_RELAXED)) < t->count)
@@ -214,9 +214,9 @@
  * that called it in the last minute, so that a leaving backend server gets
  * no new work even while the platform's host list lags.
  */
-void lw_heartbeat_tell_callers(lw_node_t *n)
+void lw_heartbeat_notify_callers(lw_node_t *n)
 {
-	tell_t *t = xcalloc(1, sizeof(*t));
+	notify_job_t *t = xcalloc(1, sizeof(*t));
 	lw_caller_t *c;
 
 	pthread_mutex_lock(&n->lock);
@@ -229,8 +229,8 @@
 	for (int i = 0; i < DRAIN_THREADS; i++) {
 		pthread_t th;
 
-		if (pthread_create(&th, NULL, tell_main, t))
-			tell_main(t); /* out of threads: tell them here */
+		if (pthread_create(&th, NULL, notify_main, t))
+			notify_main(t); /* out of threads: tell them here */
 		else
 			pthread_detach(th);
 	}
--- a/src/inbound.c
+++ b/src/inbound.c
@@ -13,7 +13,7 @@
 #define LW_STARTING_RETRY_MS 500
 
 /* the reducer's word on a repeat that this node has no record of */
-static void look_up(lw_node_t *n, lw_call_t *c, const lw_request_t *rq)
+static void look_up_record(lw_node_t *n, lw_call_t *c, const lw_request_t *rq)
 {
 	lw_event_t ev = { .kind = LW_EV_IN_RECORD, .id = c->id, .outcome = LW_UNKNOWN };
 	lw_answer_t *answer = NULL;
@@ -54,7 +54,7 @@
 }
 
 /* wait for the reducer's word; false when the deadline came first */
-static bool await(lw_node_t *n, lw_call_t *c, uint64_t deadline_at)
+static bool wait_for_decision(lw_node_t *n, lw_call_t *c, uint64_t deadline_at)
 {
 	while (c->state == LW_CALL_WAIT)
 		if (lw_cond_wait_until(&c->cond, &n->lock, deadline_at) &&
@@ -75,7 +75,7 @@
 {
 	c->state = LW_CALL_WAIT;
 	lw_backend_run(n->backend, c->id, rq, c->retry_budget, deadline_at);
-	if (!await(n, c, deadline_at))
+	if (!wait_for_decision(n, c, deadline_at))
 		/* its answer goes out now; the backend server's is kept for a repeat */
 		give_up(c, LW_UNKNOWN, LW_R_TIMEOUT);
 }
@@ -108,8 +108,8 @@
 	ev.attempt_key = rq->attempt_key;
 	lw_node_step(n, &ev);
 	if (c.state == LW_CALL_LOOKUP)
-		look_up(n, &c, rq);
-	if (!await(n, &c, deadline_at))
+		look_up_record(n, &c, rq);
+	if (!wait_for_decision(n, &c, deadline_at))
 		/* still queued; once closed here it is never run (see apply()) */
 		give_up(&c, LW_NOT_RUN, LW_R_DEADLINE);
 	else if (c.state == LW_CALL_ADMITTED)
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -6,18 +6,18 @@
 #include "xalloc.h"
 
 /* nothing heard for so long while answers are due: ask, us */
-#define SILENT_ASK_US 200000
+#define SILENT_PROBE_US 200000
 /* no reply to that for so long: use another connection, us */
 #define SILENT_LOST_US 300000
 /* connections with requests under way are looked at so often, in seconds */
-#define WATCH_STEP_S 0.1
+#define WATCH_INTERVAL_S 0.1
 /* an idle connection is tested so often: a middlebox may have dropped it, us */
-#define IDLE_ASK_US 2000000
+#define IDLE_PROBE_US 2000000
 /*
  * A connection on which the peer has not spoken after this has failed. What is
  * held for it meanwhile keeps the deadline it had when it was given, us.
  */
-#define CONNECT_MAX_US 400000
+#define HANDSHAKE_TIMEOUT_US 400000
 
 /* lw_mesh_on_frame() - act on one frame. */
 void lw_mesh_on_frame(lw_link_t *l, const Lw__MeshFrame *f)
@@ -80,7 +80,7 @@
 }
 
 /* lw_mesh_contact() - connect to @node if there is no connection yet. */
-void lw_mesh_contact(lw_mesh_t *m, const char *node)
+void lw_mesh_connect(lw_mesh_t *m, const char *node)
 {
 	lw_link_to(m, node);
 }
@@ -126,26 +126,26 @@
  * be suspended, or something between has lost track of it. New requests take
  * another connection; what became of those under way is asked there.
  */
-static void link_silent(lw_link_t *l)
+static void mark_silent(lw_link_t *l)
 {
 	l->silent = true;
 	l->mesh->stats.links_silent++;
 	lw_log(LW_LOG_link_silent, "node=%s link=%016llx streams=%u unwritten=%llu quiet_ms=%llu",
 	       l->node, (unsigned long long)l->name, HASH_COUNT(l->streams),
 	       (unsigned long long)(l->queued_total - l->written_total),
-	       (unsigned long long)((l->mesh->hub->now_us - l->heard_us) / 1000));
-	l->mesh->ops->lost(l->mesh->ctx, l->node, true);
-	lw_mesh_forget_questions(l);
+	       (unsigned long long)((l->mesh->evloop->now_us - l->last_recv_us) / 1000));
+	l->mesh->ops->node_lost(l->mesh->ctx, l->node, true);
+	lw_mesh_reset_queries(l);
 	if (l->streams)
-		lw_mesh_ask_fate(l);
+		lw_mesh_query_link(l);
 }
 
 static void check_link(lw_link_t *l, uint64_t now)
 {
-	uint64_t quiet = now - l->heard_us;
+	uint64_t quiet = now - l->last_recv_us;
 
-	if (l->connecting || !lw_link_greeted(l)) {
-		if (now - l->opened_us > CONNECT_MAX_US)
+	if (l->connecting || !lw_link_handshake_done(l)) {
+		if (now - l->opened_us > HANDSHAKE_TIMEOUT_US)
 			lw_link_lost(l);
 		return;
 	}
@@ -156,13 +156,13 @@
 			lw_link_lost(l);
 		return;
 	}
-	if (l->asked_us) {
-		if (now - l->asked_us > SILENT_LOST_US)
-			link_silent(l);
+	if (l->status_request_us) {
+		if (now - l->status_request_us > SILENT_LOST_US)
+			mark_silent(l);
 		return;
 	}
-	if (quiet > (l->streams || l->questions ? SILENT_ASK_US : IDLE_ASK_US)) {
-		l->asked_us = now;
+	if (quiet > (l->streams || l->open_queries ? SILENT_PROBE_US : IDLE_PROBE_US)) {
+		l->status_request_us = now;
 		lw_mesh_send_status(l, false);
 	}
 }
@@ -171,26 +171,26 @@
 static void on_watch(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_mesh_t *m = w->data;
-	bool under_way = m->orphans != NULL;
+	bool active = m->orphans != NULL;
 	lw_link_t *next;
 
 	(void)revents;
 	for (lw_link_t *l = m->links; l; l = next) {
 		next = l->next;
-		if (!l->outgoing || !(l->streams || l->questions))
+		if (!l->outgoing || !(l->streams || l->open_queries))
 			continue;
-		under_way = true;
-		check_link(l, m->hub->now_us);
+		active = true;
+		check_link(l, m->evloop->now_us);
 	}
 	lw_mesh_check_orphans(m);
-	if (!under_way)
+	if (!active)
 		ev_timer_stop(loop, w);
 }
 
 static void on_tick(void *ctx)
 {
 	lw_mesh_t *m = ctx;
-	uint64_t now = m->hub->now_us;
+	uint64_t now = m->evloop->now_us;
 	uint64_t version = m->ops->config_version(m->ctx);
 	lw_link_t *next;
 
@@ -207,16 +207,16 @@
 }
 
 /* the host was suspended: what lies in the buffers is old by that time */
-static void mark_late(lw_mesh_t *m)
+static void adjust_for_suspension(lw_mesh_t *m)
 {
 	for (lw_link_t *l = m->links; l; l = l->next) {
-		l->late_us += m->hub->slept_us;
-		l->heard_us = m->hub->now_us;
-		l->asked_us = 0;
+		l->late_us += m->evloop->suspended_us;
+		l->last_recv_us = m->evloop->now_us;
+		l->status_request_us = 0;
 	}
 	/* nobody could ask meanwhile: ended now, work would be lost with the question at hand */
 	for (lw_link_t *l = m->orphans; l; l = l->next)
-		l->orphan_us += m->hub->slept_us;
+		l->orphan_us += m->evloop->suspended_us;
 }
 
 static void on_wake(struct ev_loop *loop, ev_check *w, int revents)
@@ -225,8 +225,8 @@
 
 	(void)loop;
 	(void)revents;
-	if (m->hub->slept_us)
-		mark_late(m);
+	if (m->evloop->suspended_us)
+		adjust_for_suspension(m);
 }
 
 static void on_accept(struct ev_loop *loop, ev_io *w, int revents)
@@ -254,28 +254,28 @@
 	lw_sock_nonblock(m->listen_fd);
 	ev_io_init(&m->accept_io, on_accept, m->listen_fd, EV_READ);
 	m->accept_io.data = m;
-	ev_io_start(m->hub->loop, &m->accept_io);
+	ev_io_start(m->evloop->loop, &m->accept_io);
 	return LW_OK;
 }
 
 /* lw_mesh_new() - no connections yet; requests of other nodes go to @gate. */
-lw_mesh_t *lw_mesh_new(lw_hub_t *hub, lw_gate_t *gate, const lw_mesh_ops_t *ops, void *ctx)
+lw_mesh_t *lw_mesh_new(lw_evloop_t *evloop, lw_gate_t *gate, const lw_mesh_ops_t *ops, void *ctx)
 {
 	static ev_check wake;
 	lw_mesh_t *m = xcalloc(1, sizeof(*m));
 
-	m->hub = hub;
+	m->evloop = evloop;
 	m->gate = gate;
 	m->ops = ops;
 	m->ctx = ctx;
-	m->incarnation =
-		(uint64_t)lw_hub_random(hub, UINT32_MAX) << 32 | 1 | lw_hub_random(hub, UINT32_MAX);
-	ev_timer_init(&m->watch, on_watch, 0, WATCH_STEP_S);
+	m->incarnation = (uint64_t)lw_evloop_random(evloop, UINT32_MAX) << 32 | 1 |
+			 lw_evloop_random(evloop, UINT32_MAX);
+	ev_timer_init(&m->watch, on_watch, 0, WATCH_INTERVAL_S);
 	m->watch.data = m;
 	ev_check_init(&wake, on_wake);
 	wake.data = m;
-	ev_check_start(hub->loop, &wake);
-	lw_hub_on_flush(hub, lw_mesh_flush_all, m);
-	lw_hub_on_tick(hub, on_tick, m);
+	ev_check_start(evloop->loop, &wake);
+	lw_evloop_on_flush(evloop, lw_mesh_flush_all, m);
+	lw_evloop_on_tick(evloop, on_tick, m);
 	return m;
 }
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -11,7 +11,7 @@
 #include "call.h"
 #include "fleetconf.h"
 #include "gate.h"
-#include "hub.h"
+#include "evloop.h"
 #include "quarantine.h"
 #include "quota.h"
 #include "revdoc.h"
@@ -25,12 +25,12 @@
 typedef struct lw_mesh_ops {
 	void (*load)(void *ctx, const char *node, const lw_load_t *load);
 	/* the node says that its backend server lives though its entry lapsed */
-	void (*vouched)(void *ctx, const char *node, const char *server, uint64_t born_ms);
+	void (*server_alive)(void *ctx, const char *node, const char *server, uint64_t born_ms);
 	/* the connection to it is lost or silent; @used: it had carried something */
-	void (*lost)(void *ctx, const char *node, bool used);
+	void (*node_lost)(void *ctx, const char *node, bool used);
 	/* levels this node has news of, for others; and one that another node told */
-	uint32_t (*levels)(void *ctx, lw_heard_t *out, uint32_t most);
-	void (*heard)(void *ctx, const lw_heard_t *heard);
+	uint32_t (*known_levels)(void *ctx, lw_heard_t *out, uint32_t most);
+	void (*level_received)(void *ctx, const lw_heard_t *heard);
 	uint64_t (*config_version)(void *ctx);
 	/* the document of a kind, 0: configuration, 1: backend servers, in the newest version here */
 	lw_revdoc_t *(*document)(void *ctx, int kind);
@@ -43,9 +43,9 @@
 	/* how old this node's news from the store is */
 	uint32_t (*news_age_ms)(void *ctx);
 	/* @node, which has nothing newer than this one, knows of a read of the store at @at_us */
-	void (*news)(void *ctx, const char *node, uint64_t at_us);
+	void (*store_read)(void *ctx, const char *node, uint64_t at_us);
 	/* a node knows this of a request; returns what others must hear now, or NULL */
-	const lw_suspect_t *(*suspect)(void *ctx, const lw_suspect_t *told);
+	const lw_suspect_t *(*suspect_received)(void *ctx, const lw_suspect_t *told);
 	/* the node with this digest reports; returns what it has to know, at most @most */
 	size_t (*quota_report)(void *ctx, uint64_t node, const lw_quota_use_t *uses, size_t n,
 			       lw_quota_term_t *out, size_t most);
@@ -53,7 +53,7 @@
 	void (*quota_terms)(void *ctx, const char *node, uint32_t number,
 			    const lw_quota_term_t *terms, size_t n);
 	/* the requests that a node that begins must know of */
-	size_t (*suspects)(void *ctx, const lw_suspect_t **out, size_t most);
+	size_t (*known_suspects)(void *ctx, const lw_suspect_t **out, size_t most);
 } lw_mesh_ops_t;
 
 typedef struct lw_mesh_stats {
@@ -69,21 +69,21 @@
 	uint64_t bytes_of[LW_MESH_FRAME_KINDS]; /* queued, by kind of frame */
 } lw_mesh_stats_t;
 
-lw_mesh_t *lw_mesh_new(lw_hub_t *hub, lw_gate_t *gate, const lw_mesh_ops_t *ops, void *ctx);
+lw_mesh_t *lw_mesh_new(lw_evloop_t *evloop, lw_gate_t *gate, const lw_mesh_ops_t *ops, void *ctx);
 lw_status_t lw_mesh_listen(lw_mesh_t *m, const char *addr);
 lw_call_t *lw_mesh_call(lw_mesh_t *m, const char *node, lw_sink_t *sink, const lw_ask_t *ask,
 			lw_str_t body, bool fin);
-bool lw_mesh_unwritten(const lw_mesh_t *m);
-void lw_mesh_end(lw_mesh_t *m);
-void lw_mesh_announce(lw_mesh_t *m);
-void lw_mesh_vouch(lw_mesh_t *m, const char *server, uint64_t born_ms);
-void lw_mesh_tell(lw_mesh_t *m, const char *node);
-void lw_mesh_ask_news(lw_mesh_t *m, uint32_t nodes);
-void lw_mesh_tell_ended(lw_mesh_t *m, uint64_t process, const lw_fingerprint_t *prints, size_t n);
-void lw_mesh_tell_suspect(lw_mesh_t *m, const lw_suspect_t *s);
-bool lw_mesh_report_quota(lw_mesh_t *m, const char *keeper, uint64_t node, uint32_t number,
+bool lw_mesh_has_unwritten_answers(const lw_mesh_t *m);
+void lw_mesh_close_all(lw_mesh_t *m);
+void lw_mesh_broadcast_status(lw_mesh_t *m);
+void lw_mesh_set_lapsed_server(lw_mesh_t *m, const char *server, uint64_t born_ms);
+void lw_mesh_send_state(lw_mesh_t *m, const char *node);
+void lw_mesh_request_status(lw_mesh_t *m, uint32_t nodes);
+void lw_mesh_report_crash(lw_mesh_t *m, uint64_t process, const lw_fingerprint_t *prints, size_t n);
+void lw_mesh_broadcast_suspect(lw_mesh_t *m, const lw_suspect_t *s);
+bool lw_mesh_report_quota(lw_mesh_t *m, const char *coordinator, uint64_t node, uint32_t number,
 			  const lw_quota_use_t *uses, size_t n);
-void lw_mesh_contact(lw_mesh_t *m, const char *node);
+void lw_mesh_connect(lw_mesh_t *m, const char *node);
 const lw_mesh_stats_t *lw_mesh_stats(const lw_mesh_t *m);
 const char *lw_mesh_control_name(size_t kind);
 uint64_t lw_mesh_control_bytes(const lw_mesh_stats_t *s);
--- a/src/meshask.c
+++ b/src/meshask.c
@@ -20,7 +20,7 @@
  * No answer to the question after this: the peer is suspended or gone. A request
  * that may run twice goes elsewhere then, any other is waited for, us.
  */
-#define FATE_WAIT_US 600000
+#define QUERY_TIMEOUT_US 600000
 
 /*
  * lw_mesh_forget_questions() - @l is lost or silent, and with it the questions it
@@ -28,17 +28,17 @@
  * that the host has answered, or never had, ends 504 or 502: seen wherever a
  * host stands still longer than a connection waits for its first words.
  */
-void lw_mesh_forget_questions(const lw_link_t *l)
+void lw_mesh_reset_queries(const lw_link_t *l)
 {
 	if (!l->outgoing)
 		return;
 	for (lw_stream_t *s = l->mesh->sent; s; s = s->by_origin.next)
-		if (s->asked_over == l->name)
-			s->asked_over = 0;
+		if (s->query_link == l->name)
+			s->query_link = 0;
 }
 
 /* all requests sent over @link that are not over, from now on named in a question; the caller frees them */
-static uint32_t *name_streams(lw_mesh_t *m, uint64_t link, const lw_link_t *over, size_t *n)
+static uint32_t *list_streams(lw_mesh_t *m, uint64_t link, const lw_link_t *over, size_t *n)
 {
 	uint32_t *ids = xcalloc(HASH_CNT(by_origin, m->sent), sizeof(*ids));
 
@@ -46,9 +46,9 @@
 		if (s->origin.link != link)
 			continue;
 		ids[(*n)++] = (uint32_t)s->origin.id;
-		s->asked_over = over->name;
-		if (!s->asked_us)
-			s->asked_us = m->hub->now_us;
+		s->query_link = over->name;
+		if (!s->query_us)
+			s->query_us = m->evloop->now_us;
 	}
 	return ids;
 }
@@ -58,20 +58,20 @@
  * the question does not name, and it may not know where its sender believes a
  * request to be, as when word of a move was lost.
  */
-static void ask(lw_link_t *over, uint64_t link, bool lost)
+static void send_query(lw_link_t *over, uint64_t link, bool lost)
 {
 	lw_mesh_t *m = over->mesh;
 	Lw__FateQuery q = LW__FATE_QUERY__INIT;
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
-	uint32_t *ids = name_streams(m, link, over, &q.n_streams);
+	uint32_t *ids = list_streams(m, link, over, &q.n_streams);
 
 	q.link = link;
 	q.streams = ids;
-	q.number = ++m->asked;
+	q.number = ++m->queries_sent;
 	f.body_case = LW__MESH_FRAME__BODY_QUERY;
 	f.query = &q;
 	lw_link_send(over, &f);
-	over->questions++;
+	over->open_queries++;
 	m->stats.queries++;
 	lw_log(LW_LOG_fate_asked, "node=%s link=%016llx over=%016llx streams=%zu lost=%d new=%d",
 	       over->node, (unsigned long long)link, (unsigned long long)over->name, q.n_streams,
@@ -83,30 +83,31 @@
  * lw_mesh_ask_fate() - ask the peer what became of the requests on @l, if no
  * question about them is under way.
  */
-void lw_mesh_ask_fate(lw_link_t *l)
+void lw_mesh_query_link(lw_link_t *l)
 {
 	for (lw_stream_t *s = l->streams; s; s = s->hh.next) {
 		lw_link_t *over;
 
-		if (s->asked_over)
+		if (s->query_link)
 			continue;
 		over = lw_link_to(l->mesh, l->node);
 		if (!over)
 			return;
-		ask(over, s->origin.link, l->orphan_us != 0);
+		send_query(over, s->origin.link, l->orphan_us != 0);
 	}
 }
 
 /* nothing was heard of some requests for long: those that may run twice go elsewhere */
-static void tell_silent(lw_mesh_t *m)
+static void report_silence(lw_mesh_t *m)
 {
 	lw_stream_t *s, *next;
 
 	for (s = m->sent; s; s = next) {
 		next = s->by_origin.next;
-		if (s->told_silent || !s->asked_us || m->hub->now_us - s->asked_us < FATE_WAIT_US)
+		if (s->silence_reported || !s->query_us ||
+		    m->evloop->now_us - s->query_us < QUERY_TIMEOUT_US)
 			continue;
-		s->told_silent = true;
+		s->silence_reported = true;
 		s->call.sink->ops->silent(s->call.sink);
 	}
 }
@@ -115,25 +116,25 @@
  * lw_mesh_ask_again() - requests on lost and silent connections whose question was
  * lost are asked after again.
  */
-void lw_mesh_ask_again(lw_mesh_t *m)
+void lw_mesh_retry_queries(lw_mesh_t *m)
 {
-	tell_silent(m);
+	report_silence(m);
 	for (lw_link_t *l = m->orphans; l; l = l->next)
 		if (l->outgoing)
-			lw_mesh_ask_fate(l);
+			lw_mesh_query_link(l);
 	for (lw_link_t *l = m->links; l; l = l->next)
 		if (l->silent)
-			lw_mesh_ask_fate(l);
+			lw_mesh_query_link(l);
 }
 
 /* the peer runs the request, and its answer comes over @l */
-static void go_on(lw_stream_t *s, lw_link_t *l, uint32_t id)
+static void resume_stream(lw_stream_t *s, lw_link_t *l, uint32_t id)
 {
 	lw_stream_move(s, l, id);
 	s->received = true;
-	s->asked_over = 0;
-	s->asked_us = 0;
-	s->told_silent = false;
+	s->query_link = 0;
+	s->query_us = 0;
+	s->silence_reported = false;
 	l->mesh->stats.moved++;
 }
 
@@ -143,7 +144,7 @@
 }
 
 /* what became of one request, as told over @l; false if nobody waits for that word */
-static bool take_fate(lw_link_t *l, const Lw__Fates *w, const Lw__Fate *fate)
+static bool apply_fate(lw_link_t *l, const Lw__Fates *w, const Lw__Fate *fate)
 {
 	lw_stream_t *s = lw_stream_by_origin(l->mesh->sent, w->link, fate->stream);
 	bool same;
@@ -155,11 +156,11 @@
 			lw_mesh_send_cancel(l, fate->moved_to);
 		return false;
 	}
-	if (s->asked_over != l->name)
+	if (s->query_link != l->name)
 		return false; /* it was asked about again: only the last answer holds */
 	same = same_process(s, w);
 	if (same && fate->kind == LW__FATE_KIND__FATE_MOVED) {
-		go_on(s, l, fate->moved_to);
+		resume_stream(s, l, fate->moved_to);
 		return true;
 	}
 	sink = s->call.sink;
@@ -174,7 +175,7 @@
 }
 
 /* silent connections to @node on which nothing is left */
-static void close_emptied(lw_mesh_t *m, const char *node)
+static void close_empty_silent_links(lw_mesh_t *m, const char *node)
 {
 	lw_link_t *next;
 
@@ -192,10 +193,10 @@
 	uint32_t waited_for = 0;
 
 	lw_str_copy(node, sizeof(node), lw_str_c(l->node));
-	if (l->questions)
-		l->questions--;
+	if (l->open_queries)
+		l->open_queries--;
 	for (size_t i = 0; i < w->n_fates; i++)
-		waited_for += take_fate(l, w, w->fates[i]);
+		waited_for += apply_fate(l, w, w->fates[i]);
 	lw_log(LW_LOG_fate_heard,
 	       "node=%s link=%016llx over=%016llx waited_for=%u moved=%u never=%u maybe_ran=%u incarnation=%016llx before=%016llx",
 	       node, (unsigned long long)w->link, (unsigned long long)l->name, waited_for,
@@ -204,6 +205,6 @@
 	       lw_mesh_count_fates(w, LW__FATE_KIND__FATE_GONE), (unsigned long long)w->incarnation,
 	       (unsigned long long)l->peer_incarnation);
 	if (l->silent)
-		lw_mesh_ask_fate(l);
-	close_emptied(l->mesh, node);
+		lw_mesh_query_link(l);
+	close_empty_silent_links(l->mesh, node);
 }
--- a/src/meshcall.c
+++ b/src/meshcall.c
@@ -13,7 +13,7 @@
 {
 	lw_mesh_t *m = s->link->mesh;
 
-	return s->call.sink ? &m->sent : &m->taken;
+	return s->call.sink ? &m->sent : &m->incoming;
 }
 
 /* lw_stream_by_origin() - the request in @table that was sent over @link as @id; NULL: there is none. */
@@ -22,7 +22,7 @@
 	lw_stream_t key, *s;
 
 	memset(&key, 0, sizeof(key));
-	key.origin = (lw_origin_t){ link, id };
+	key.origin = (lw_stream_origin_t){ link, id };
 	HASH_FIND(by_origin, table, &key.origin, sizeof(key.origin), s);
 	return s;
 }
@@ -32,7 +32,7 @@
 {
 	s->link = l;
 	s->id = id;
-	s->origin = (lw_origin_t){ l->name, id };
+	s->origin = (lw_stream_origin_t){ l->name, id };
 	HASH_ADD(hh, l->streams, id, sizeof(s->id), s);
 	HASH_ADD(by_origin, *table_of(s), origin, sizeof(s->origin), s);
 }
@@ -54,7 +54,7 @@
 	s->dead = true;
 	HASH_DELETE(by_origin, *table_of(s), s);
 	HASH_DEL(s->link->streams, s);
-	lw_hub_free_later(s->link->mesh->hub, s);
+	lw_evloop_free_later(s->link->mesh->evloop, s);
 }
 
 static lw_stream_t *stream_find(lw_link_t *l, uint32_t id)
@@ -183,7 +183,7 @@
 	s->answering = true;
 	if (!fin)
 		return;
-	lw_meshkept_answer(&m->kept, &s->origin, a, body, m->hub->now_us);
+	lw_meshoutcomes_add_answer(&m->outcomes, &s->origin, a, body, m->evloop->now_us);
 	lw_stream_free(s);
 }
 
@@ -222,7 +222,8 @@
 	lw_mesh_t *m = s->link->mesh;
 
 	send_failed(s->link, s->id, why, retry_after_ms, load);
-	lw_meshkept_failure(&m->kept, &s->origin, why, retry_after_ms, m->hub->now_us);
+	lw_meshoutcomes_add_failure(&m->outcomes, &s->origin, why, retry_after_ms,
+				    m->evloop->now_us);
 	lw_stream_free(s);
 }
 
@@ -236,7 +237,7 @@
 }
 
 /* lw_mesh_send_kept() - the outcome of a request once more, as that of stream @id. */
-void lw_mesh_send_kept(lw_link_t *l, uint32_t id, const lw_kept_t *o)
+void lw_mesh_send_outcome(lw_link_t *l, uint32_t id, const lw_retained_outcome_t *o)
 {
 	lw_load_t own;
 
@@ -284,13 +285,13 @@
 	lw_fail_t why;
 	uint32_t retry_after_ms;
 
-	if (l->barred) {
+	if (l->rejects_requests) {
 		lw_link_lost(l);
 		return;
 	}
 	if (o->stream >= l->last_open)
 		l->last_open = o->stream + 1;
-	if (lw_link_gave_up(l, o->stream))
+	if (lw_link_cancel_buffered(l, o->stream))
 		return;
 	s = xcalloc(1, sizeof(*s));
 	s->as_sink.ops = &sink_ops;
@@ -315,7 +316,7 @@
 	lw_load_t load;
 
 	lw_meshframe_read_load(w->load, &load);
-	lw_mesh_take_levels(l, w->load);
+	lw_mesh_read_levels(l, w->load);
 	if (w->load)
 		l->peer_version = w->load->config_version;
 	if (!s || s->job || !s->call.sink)
@@ -379,7 +380,7 @@
 	lw_load_t load;
 
 	lw_meshframe_read_load(w->load, &load);
-	lw_mesh_take_levels(l, w->load);
+	lw_mesh_read_levels(l, w->load);
 	if (!s || s->job || !s->call.sink)
 		return;
 	sink = s->call.sink;
@@ -409,7 +410,7 @@
 	s->open_at = l->queued_total;
 	lw_stream_add(s, l, l->next_id++);
 	if (!ev_is_active(&m->watch))
-		ev_timer_again(m->hub->loop, &m->watch);
+		ev_timer_again(m->evloop->loop, &m->watch);
 	o.stream = s->id;
 	o.deadline_ms = ask->deadline_ms;
 	o.queue_ms = ask->queue_ms;
--- a/src/meshdocs.c
+++ b/src/meshdocs.c
@@ -10,17 +10,17 @@
 #include "log.h"
 
 /* the version of a document that the peer has, as far as told */
-static uint64_t peer_has(const lw_link_t *l, Lw__DocumentKind kind)
+static uint64_t peer_version_of(const lw_link_t *l, Lw__DocumentKind kind)
 {
 	return kind == LW__DOCUMENT_KIND__DOCUMENT_CONFIG ? l->peer_version : l->peer_revision;
 }
 
-static uint64_t own_has(const lw_mesh_t *m, Lw__DocumentKind kind)
+static uint64_t own_version_of(const lw_mesh_t *m, Lw__DocumentKind kind)
 {
 	return lw_revdoc_version(m->ops->document(m->ctx, kind));
 }
 
-static void send_fetch(lw_link_t *l, Lw__DocumentKind kind, const lw_docfetch_ask_t *ask)
+static void send_fetch(lw_link_t *l, Lw__DocumentKind kind, const lw_docfetch_request_t *ask)
 {
 	size_t before = lw_bytebuf_len(&l->out);
 
@@ -28,20 +28,21 @@
 	lw_link_frame_queued(l, before, LW__MESH_FRAME__BODY_FETCH);
 }
 
-static void begin_fetch(lw_link_t *l, Lw__DocumentKind kind)
+static void start_fetch(lw_link_t *l, Lw__DocumentKind kind)
 {
 	lw_mesh_t *m = l->mesh;
-	lw_docfetch_ask_t ask;
+	lw_docfetch_request_t ask;
 
-	lw_docfetch_begin(&m->fetch[kind], l, m->ops->document(m->ctx, kind), m->hub->now_us, &ask);
+	lw_docfetch_start(&m->fetch[kind], l, m->ops->document(m->ctx, kind), m->evloop->now_us,
+			  &ask);
 	send_fetch(l, kind, &ask);
 }
 
 static bool has_newer(const lw_link_t *l, Lw__DocumentKind kind)
 {
-	return !l->closed && !l->silent && l->peer_fetches && lw_link_greeted(l) &&
-	       peer_has(l, kind) > own_has(l->mesh, kind) &&
-	       peer_has(l, kind) > l->mesh->fetch[kind].refused;
+	return !l->closed && !l->silent && l->peer_fetches && lw_link_handshake_done(l) &&
+	       peer_version_of(l, kind) > own_version_of(l->mesh, kind) &&
+	       peer_version_of(l, kind) > l->mesh->fetch[kind].rejected_version;
 }
 
 /* lw_mesh_fetch_from() - fetch what the peer has in a newer version, unless a fetch is under way. */
@@ -50,8 +51,8 @@
 	lw_mesh_t *m = l->mesh;
 
 	for (int kind = 0; kind < LW_MESH_DOCUMENTS; kind++)
-		if (has_newer(l, kind) && lw_docfetch_may_begin(&m->fetch[kind], m->hub->now_us))
-			begin_fetch(l, kind);
+		if (has_newer(l, kind) && lw_docfetch_can_start(&m->fetch[kind], m->evloop->now_us))
+			start_fetch(l, kind);
 }
 
 /*
@@ -63,14 +64,14 @@
 	for (int kind = 0; kind < LW_MESH_DOCUMENTS; kind++) {
 		lw_link_t *best = NULL;
 
-		if (!lw_docfetch_may_begin(&m->fetch[kind], m->hub->now_us))
+		if (!lw_docfetch_can_start(&m->fetch[kind], m->evloop->now_us))
 			continue;
 		for (lw_link_t *l = m->links; l; l = l->next)
 			if (has_newer(l, kind) && (!best || best == m->fetch[kind].source ||
 						   best == m->fetch[kind].failed))
 				best = l;
 		if (best)
-			begin_fetch(best, kind);
+			start_fetch(best, kind);
 	}
 }
 
@@ -90,7 +91,7 @@
 void lw_mesh_on_fetch(lw_link_t *l, const Lw__Fetch *w)
 {
 	lw_mesh_t *m = l->mesh;
-	lw_docfetch_ask_t ask = lw_meshframe_read_fetch(w);
+	lw_docfetch_request_t ask = lw_meshframe_read_fetch(w);
 	size_t before = lw_bytebuf_len(&l->out);
 	lw_docfetch_piece_t piece;
 
@@ -102,7 +103,7 @@
 }
 
 /* a document is complete */
-static void received(lw_mesh_t *m, Lw__DocumentKind kind, uint64_t version, lw_str_t bytes)
+static void apply_document(lw_mesh_t *m, Lw__DocumentKind kind, uint64_t version, lw_str_t bytes)
 {
 	lw_serverlist_t *sl;
 
@@ -119,25 +120,25 @@
 {
 	lw_mesh_t *m = l->mesh;
 	lw_docfetch_piece_t piece = lw_meshframe_read_piece(w);
-	lw_docfetch_ask_t ask;
+	lw_docfetch_request_t ask;
 	char *bytes;
 
 	if (!known_kind(w->kind))
 		return;
-	switch (lw_docfetch_take(&m->fetch[w->kind], l, m->ops->document(m->ctx, w->kind), &piece,
-				 m->hub->now_us, &ask, &bytes)) {
+	switch (lw_docfetch_receive(&m->fetch[w->kind], l, m->ops->document(m->ctx, w->kind),
+				    &piece, m->evloop->now_us, &ask, &bytes)) {
 	case LW_DOCFETCH_MORE:
 		send_fetch(l, w->kind, &ask);
 		break;
 	case LW_DOCFETCH_DONE:
-		received(m, w->kind, piece.of.version, (lw_str_t){ bytes, piece.of.length });
+		apply_document(m, w->kind, piece.of.version, (lw_str_t){ bytes, piece.of.length });
 		free(bytes);
 		/* as a newer version may accept what this one does not understand */
-		if (own_has(m, w->kind) < piece.of.version)
-			m->fetch[w->kind].refused = piece.of.version;
-		lw_mesh_settle_news(l);
+		if (own_version_of(m, w->kind) < piece.of.version)
+			m->fetch[w->kind].rejected_version = piece.of.version;
+		lw_mesh_apply_store_read(l);
 		break;
-	case LW_DOCFETCH_SPOILED:
+	case LW_DOCFETCH_CORRUPT:
 		lw_log(LW_LOG_document_spoiled, "node=%s why=\"%s\"", l->node, lw_error_last());
 		lw_mesh_fetch_from(l);
 		break;
--- a/src/meshframe.c
+++ b/src/meshframe.c
@@ -79,7 +79,7 @@
 }
 
 /* lw_meshframe_done() - release a decoded frame. */
-void lw_meshframe_done(Lw__MeshFrame *f)
+void lw_meshframe_free(Lw__MeshFrame *f)
 {
 	lw__mesh_frame__free_unpacked(f, &allocator);
 }
@@ -157,7 +157,7 @@
 }
 
 /* lw_meshframe_heard() - add the first @n levels in out->heard to the load part. */
-void lw_meshframe_heard(lw_meshframe_load_t *out, uint32_t n)
+void lw_meshframe_add_levels(lw_meshframe_load_t *out, uint32_t n)
 {
 	out->load.n_heard = n;
 	out->load.heard = out->heard_list;
@@ -171,7 +171,7 @@
 }
 
 /* lw_meshframe_read_heard() - one level that a peer passed on. */
-void lw_meshframe_read_heard(const Lw__Heard *in, lw_heard_t *out)
+void lw_meshframe_read_level(const Lw__Heard *in, lw_heard_t *out)
 {
 	memset(out, 0, sizeof(*out));
 	lw_str_copy(out->service, sizeof(out->service), lw_str_c(in->service));
@@ -291,7 +291,7 @@
 
 /* lw_meshframe_append_fetch() - encode a question for a piece of a document. */
 void lw_meshframe_append_fetch(lw_bytebuf_t *out, Lw__DocumentKind kind,
-			       const lw_docfetch_ask_t *ask)
+			       const lw_docfetch_request_t *ask)
 {
 	Lw__Fetch w = LW__FETCH__INIT;
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
@@ -326,9 +326,9 @@
 }
 
 /* lw_meshframe_read_fetch() - what a peer asks for. */
-lw_docfetch_ask_t lw_meshframe_read_fetch(const Lw__Fetch *in)
+lw_docfetch_request_t lw_meshframe_read_fetch(const Lw__Fetch *in)
 {
-	return (lw_docfetch_ask_t){ in->version, in->against, in->offset };
+	return (lw_docfetch_request_t){ in->version, in->against, in->offset };
 }
 
 /* lw_meshframe_read_piece() - a piece that came; it points into the frame. */
--- a/src/meshframe.h
+++ b/src/meshframe.h
@@ -16,39 +16,39 @@
 #include "mesh.pb-c.h"
 
 /* Levels that are passed on with one frame. */
-#define LW_MESHFRAME_HEARD_MAX 6
+#define LW_MESHFRAME_LEVELS_MAX 6
 
 /* The load part of a frame with the storage for its parts. */
 typedef struct lw_meshframe_load {
 	Lw__Load load;
 	Lw__Hot hot[LW_HOTS_MAX];
 	Lw__Hot *list[LW_HOTS_MAX];
-	lw_heard_t heard[LW_MESHFRAME_HEARD_MAX];
-	Lw__Heard heard_wire[LW_MESHFRAME_HEARD_MAX];
-	Lw__Heard *heard_list[LW_MESHFRAME_HEARD_MAX];
+	lw_heard_t heard[LW_MESHFRAME_LEVELS_MAX];
+	Lw__Heard heard_wire[LW_MESHFRAME_LEVELS_MAX];
+	Lw__Heard *heard_list[LW_MESHFRAME_LEVELS_MAX];
 	Lw__Notice notice;
 } lw_meshframe_load_t;
 
 void lw_meshframe_append(lw_bytebuf_t *out, const Lw__MeshFrame *f);
 ssize_t lw_meshframe_next(const char *data, size_t len, Lw__MeshFrame **out);
-void lw_meshframe_done(Lw__MeshFrame *f);
+void lw_meshframe_free(Lw__MeshFrame *f);
 ProtobufCBinaryData lw_meshframe_bytes(lw_str_t s);
 lw_str_t lw_meshframe_str(ProtobufCBinaryData b);
 void lw_meshframe_append_servers(lw_bytebuf_t *out, const lw_serverlist_t *sl);
 void lw_meshframe_pack_servers(lw_bytebuf_t *out, const lw_serverlist_t *sl);
 lw_status_t lw_meshframe_unpack_servers(lw_str_t bytes, uint64_t revision, lw_serverlist_t **out);
 void lw_meshframe_append_fetch(lw_bytebuf_t *out, Lw__DocumentKind kind,
-			       const lw_docfetch_ask_t *ask);
+			       const lw_docfetch_request_t *ask);
 void lw_meshframe_append_piece(lw_bytebuf_t *out, Lw__DocumentKind kind,
 			       const lw_docfetch_piece_t *piece);
-lw_docfetch_ask_t lw_meshframe_read_fetch(const Lw__Fetch *in);
+lw_docfetch_request_t lw_meshframe_read_fetch(const Lw__Fetch *in);
 lw_docfetch_piece_t lw_meshframe_read_piece(const Lw__Piece *in);
 lw_serverlist_t *lw_meshframe_read_servers(const Lw__Servers *in);
 Lw__Notice *lw_meshframe_notice(Lw__Notice *out, const lw_notice_t *n);
 lw_notice_t lw_meshframe_read_notice(const Lw__Notice *in);
 void lw_meshframe_load(lw_meshframe_load_t *out, const lw_load_t *load);
-void lw_meshframe_heard(lw_meshframe_load_t *out, uint32_t n);
-void lw_meshframe_read_heard(const Lw__Heard *in, lw_heard_t *out);
+void lw_meshframe_add_levels(lw_meshframe_load_t *out, uint32_t n);
+void lw_meshframe_read_level(const Lw__Heard *in, lw_heard_t *out);
 void lw_meshframe_read_load(const Lw__Load *in, lw_load_t *out);
 
 #endif
--- a/src/meshlink.c
+++ b/src/meshlink.c
@@ -15,7 +15,7 @@
 static void link_close(lw_link_t *l);
 
 /* lw_link_greeted() - whether the process at the other end has spoken on this connection. */
-bool lw_link_greeted(const lw_link_t *l)
+bool lw_link_handshake_done(const lw_link_t *l)
 {
 	return !l->outgoing || l->peer_incarnation;
 }
@@ -27,15 +27,15 @@
  * ended 502 although nobody had read them. So only this side's status goes out
  * before the peer's has come.
  */
-static size_t may_write(const lw_link_t *l)
+static size_t writable_bytes(const lw_link_t *l)
 {
 	size_t queued = lw_bytebuf_len(&l->out);
-	uint64_t hello = l->hello_bytes - l->written_total;
+	uint64_t hello = l->handshake_bytes - l->written_total;
 
-	return lw_link_greeted(l) || hello > queued ? queued : (size_t)hello;
+	return lw_link_handshake_done(l) || hello > queued ? queued : (size_t)hello;
 }
 
-static void watch(lw_link_t *l)
+static void update_io_events(lw_link_t *l)
 {
 	int events = EV_READ;
 
@@ -43,13 +43,13 @@
 		return;
 	if (l->connecting)
 		events = EV_WRITE;
-	else if (may_write(l))
+	else if (writable_bytes(l))
 		events |= EV_WRITE;
 	if (l->io.events == events && ev_is_active(&l->io))
 		return;
-	ev_io_stop(l->mesh->hub->loop, &l->io);
+	ev_io_stop(l->mesh->evloop->loop, &l->io);
 	ev_io_set(&l->io, l->fd, events);
-	ev_io_start(l->mesh->hub->loop, &l->io);
+	ev_io_start(l->mesh->evloop->loop, &l->io);
 }
 
 /* lw_link_frame_queued() - a frame was queued; it is written before the loop waits */
@@ -80,9 +80,9 @@
 }
 
 /* lw_link_cut_held() - what was held for the peer's first words is never written. */
-void lw_link_cut_held(lw_link_t *l)
+void lw_link_discard_held(lw_link_t *l)
 {
-	uint64_t held = l->queued_total - l->hello_bytes;
+	uint64_t held = l->queued_total - l->handshake_bytes;
 
 	lw_bytebuf_cut(&l->out, (size_t)held);
 	l->queued_total -= held;
@@ -90,13 +90,13 @@
 
 static void link_flush(lw_link_t *l)
 {
-	while (!l->connecting && !l->closed && may_write(l)) {
-		ssize_t n = send(l->fd, lw_bytebuf_head(&l->out), may_write(l), MSG_NOSIGNAL);
+	while (!l->connecting && !l->closed && writable_bytes(l)) {
+		ssize_t n = send(l->fd, lw_bytebuf_head(&l->out), writable_bytes(l), MSG_NOSIGNAL);
 
 		if (n < 0) {
 			if (errno != EAGAIN && errno != EINTR) {
 				l->failed = true;
-				ev_feed_event(l->mesh->hub->loop, &l->io, EV_READ);
+				ev_feed_event(l->mesh->evloop->loop, &l->io, EV_READ);
 			}
 			break;
 		}
@@ -104,7 +104,7 @@
 		l->mesh->stats.bytes_out += (uint64_t)n;
 		lw_bytebuf_consume(&l->out, (size_t)n);
 	}
-	watch(l);
+	update_io_events(l);
 }
 
 /*
@@ -138,12 +138,12 @@
 	       "node=%s link=%016llx outgoing=%d silent=%d streams=%u unsent=%u connected=%d heard=%d opened_ms=%llu quiet_ms=%llu",
 	       l->node, (unsigned long long)l->name, l->outgoing, l->silent, HASH_COUNT(l->streams),
 	       unsent, !l->connecting, l->peer_incarnation != 0,
-	       (unsigned long long)((l->mesh->hub->now_us - l->opened_us) / 1000),
-	       (unsigned long long)((l->mesh->hub->now_us - l->heard_us) / 1000));
+	       (unsigned long long)((l->mesh->evloop->now_us - l->opened_us) / 1000),
+	       (unsigned long long)((l->mesh->evloop->now_us - l->last_recv_us) / 1000));
 }
 
 /* lw_mesh_unwritten() - whether a node that sent requests has not taken all of an answer yet. */
-bool lw_mesh_unwritten(const lw_mesh_t *m)
+bool lw_mesh_has_unwritten_answers(const lw_mesh_t *m)
 {
 	for (const lw_link_t *l = m->links; l; l = l->next)
 		if (!l->outgoing && lw_bytebuf_len(&l->out))
@@ -156,9 +156,9 @@
  * The last lines of the log take 50 ms; connections left open meanwhile draw
  * requests that nobody reads.
  */
-void lw_mesh_end(lw_mesh_t *m)
+void lw_mesh_close_all(lw_mesh_t *m)
 {
-	struct ev_loop *loop = m->hub->loop;
+	struct ev_loop *loop = m->evloop->loop;
 
 	lw_mesh_flush_all(m);
 	ev_io_stop(loop, &m->accept_io);
@@ -184,12 +184,12 @@
 	log_lost(l);
 	link_close(l);
 	lw_mesh_source_lost(l);
-	lw_mesh_forget_questions(l);
+	lw_mesh_reset_queries(l);
 	if (l->outgoing && !l->silent)
-		l->mesh->ops->lost(l->mesh->ctx, l->node, l->streams || l->peer_incarnation);
+		l->mesh->ops->node_lost(l->mesh->ctx, l->node, l->streams || l->peer_incarnation);
 	if (l->refused)
 		lw_mesh_peer_gone(l->mesh, l->node);
-	if (l->streams && lw_link_may_wait(l))
+	if (l->streams && lw_link_can_recover(l))
 		lw_link_orphan(l);
 	else
 		lw_link_drop_streams(l);
@@ -209,20 +209,21 @@
 		at = &(*at)->next_dirty;
 	if (*at)
 		*at = l->next_dirty;
-	ev_io_stop(l->mesh->hub->loop, &l->io);
-	ev_clear_pending(l->mesh->hub->loop, &l->io);
+	ev_io_stop(l->mesh->evloop->loop, &l->io);
+	ev_clear_pending(l->mesh->evloop->loop, &l->io);
 	lw_sock_abort(l->fd);
 	lw_bytebuf_free(&l->in);
 	lw_bytebuf_free(&l->out);
-	lw_bytebuf_free(&l->given_up);
+	lw_bytebuf_free(&l->cancelled_ids);
 }
 
 /* lw_link_free() - release a closed connection without streams. */
 void lw_link_free(lw_link_t *l)
 {
 	if (!l->outgoing)
-		lw_meshpast_note(&l->mesh->past, l->name, l->last_open, l->mesh->hub->now_us);
-	lw_hub_free_later(l->mesh->hub, l);
+		lw_meshclosed_add(&l->mesh->closed_links, l->name, l->last_open,
+				  l->mesh->evloop->now_us);
+	lw_evloop_free_later(l->mesh->evloop, l);
 }
 
 static void read_frames(lw_link_t *l)
@@ -240,14 +241,14 @@
 			return;
 		l->mesh->stats.frames_in++;
 		lw_mesh_on_frame(l, f);
-		lw_meshframe_done(f);
+		lw_meshframe_free(f);
 		if (!l->closed)
 			lw_bytebuf_consume(&l->in, (size_t)used);
 	}
 }
 
 /* requests that are given up further on in the buffer */
-static void find_given_up(lw_link_t *l)
+static void find_buffered_cancels(lw_link_t *l)
 {
 	size_t at = 0;
 	ssize_t used;
@@ -256,17 +257,17 @@
 	while ((used = lw_meshframe_next(lw_bytebuf_head(&l->in) + at, lw_bytebuf_len(&l->in) - at,
 					 &f)) > 0) {
 		if (f->body_case == LW__MESH_FRAME__BODY_CANCEL)
-			lw_bytebuf_append(&l->given_up, &f->cancel->stream, sizeof(uint32_t));
-		lw_meshframe_done(f);
+			lw_bytebuf_append(&l->cancelled_ids, &f->cancel->stream, sizeof(uint32_t));
+		lw_meshframe_free(f);
 		at += (size_t)used;
 	}
 }
 
 /* lw_link_gave_up() - whether the buffer that is acted on now holds a cancellation of stream @id. */
-bool lw_link_gave_up(const lw_link_t *l, uint32_t id)
+bool lw_link_cancel_buffered(const lw_link_t *l, uint32_t id)
 {
-	const char *head = lw_bytebuf_head(&l->given_up);
-	size_t len = lw_bytebuf_len(&l->given_up);
+	const char *head = lw_bytebuf_head(&l->cancelled_ids);
+	size_t len = lw_bytebuf_len(&l->cancelled_ids);
 
 	for (size_t at = 0; at < len; at += sizeof(id))
 		if (memcmp(head + at, &id, sizeof(id)) == 0)
@@ -280,7 +281,7 @@
  * another server. So all is read before any is acted on. Answers are taken
  * as they come, whatever became of their connection.
  */
-static bool requests_are_late(const lw_link_t *l)
+static bool requests_delayed(const lw_link_t *l)
 {
 	return l->late_us && !l->outgoing;
 }
@@ -293,9 +294,9 @@
 
 		if (n > 0) {
 			lw_bytebuf_commit(&l->in, (size_t)n);
-			l->heard_us = l->mesh->hub->now_us;
-			l->asked_us = 0;
-			if (requests_are_late(l))
+			l->last_recv_us = l->mesh->evloop->now_us;
+			l->status_request_us = 0;
+			if (requests_delayed(l))
 				continue;
 			if (n < READ_BYTES)
 				break;
@@ -309,12 +310,12 @@
 		lw_link_lost(l);
 		return;
 	}
-	if (requests_are_late(l))
-		find_given_up(l);
+	if (requests_delayed(l))
+		find_buffered_cancels(l);
 	read_frames(l);
 	if (l->closed)
 		return;
-	lw_bytebuf_free(&l->given_up);
+	lw_bytebuf_free(&l->cancelled_ids);
 	l->late_us = 0;
 	lw_bytebuf_consume(&l->in, 0);
 }
@@ -337,7 +338,7 @@
 			return;
 		}
 		l->connecting = false;
-		l->heard_us = l->mesh->hub->now_us;
+		l->last_recv_us = l->mesh->evloop->now_us;
 	}
 	if (revents & EV_READ)
 		on_readable(l);
@@ -354,17 +355,17 @@
 	l->fd = fd;
 	l->outgoing = outgoing;
 	l->connecting = outgoing;
-	l->opened_us = m->hub->now_us;
+	l->opened_us = m->evloop->now_us;
 	if (outgoing)
-		l->name = (uint64_t)lw_hub_random(m->hub, UINT32_MAX) << 32 |
-			  lw_hub_random(m->hub, UINT32_MAX);
-	l->next_moved = LW_STREAM_MOVED;
-	l->heard_us = m->hub->now_us;
+		l->name = (uint64_t)lw_evloop_random(m->evloop, UINT32_MAX) << 32 |
+			  lw_evloop_random(m->evloop, UINT32_MAX);
+	l->next_moved = LW_STREAM_MOVED_MIN;
+	l->last_recv_us = m->evloop->now_us;
 	ev_io_init(&l->io, on_io, fd, 0);
 	l->io.data = l;
 	l->next = m->links;
 	m->links = l;
-	watch(l);
+	update_io_events(l);
 	return l;
 }
 
@@ -383,6 +384,6 @@
 	lw_str_copy(l->node, sizeof(l->node), lw_str_c(node));
 	m->stats.links_opened++;
 	lw_mesh_send_status(l, false);
-	l->hello_bytes = l->queued_total;
+	l->handshake_bytes = l->queued_total;
 	return l;
 }
--- a/src/meshkept.c
+++ b/src/meshoutcomes.c
@@ -1,5 +1,5 @@
 /* Outcomes kept for a moment after they were sent; see meshkept.h. */
-#include "meshkept.h"
+#include "meshoutcomes.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -10,20 +10,20 @@
  * An outcome is kept for so long: a silent connection is noticed after half a
  * second, and its sender asks again while this host stands still, us.
  */
-#define KEPT_US 3000000
+#define RETENTION_US 3000000
 /* what all of them may hold; beyond it the oldest go, in bytes */
-#define KEPT_ALL_BYTES (1024 * 1024)
+#define TOTAL_MAX_BYTES (1024 * 1024)
 /* a longer answer is not kept, in bytes */
-#define KEPT_ONE_BYTES 16384
+#define ANSWER_MAX_BYTES 16384
 
-static size_t size_of(const lw_kept_t *o)
+static size_t size_of(const lw_retained_outcome_t *o)
 {
 	return sizeof(*o) + o->answer.head.len + o->body.len;
 }
 
-static void drop_oldest(lw_meshkept_t *k)
+static void drop_oldest(lw_meshoutcomes_t *k)
 {
-	lw_kept_t *o = k->oldest;
+	lw_retained_outcome_t *o = k->oldest;
 
 	if (!o || !k->by_origin)
 		return;
@@ -35,9 +35,9 @@
 	free(o);
 }
 
-static void add(lw_meshkept_t *k, lw_kept_t *o, uint64_t now_us)
+static void add(lw_meshoutcomes_t *k, lw_retained_outcome_t *o, uint64_t now_us)
 {
-	o->kept_us = now_us;
+	o->added_us = now_us;
 	if (k->newest)
 		k->newest->newer = o;
 	else
@@ -45,18 +45,19 @@
 	k->newest = o;
 	HASH_ADD(hh, k->by_origin, origin, sizeof(o->origin), o);
 	k->bytes += size_of(o);
-	while (k->oldest && (k->bytes > KEPT_ALL_BYTES || now_us - k->oldest->kept_us > KEPT_US))
+	while (k->oldest &&
+	       (k->bytes > TOTAL_MAX_BYTES || now_us - k->oldest->added_us > RETENTION_US))
 		drop_oldest(k);
 }
 
 /* lw_meshkept_answer() - the request was answered with @a and the whole @body. */
-void lw_meshkept_answer(lw_meshkept_t *k, const lw_origin_t *origin, const lw_answer_t *a,
-			lw_str_t body, uint64_t now_us)
+void lw_meshoutcomes_add_answer(lw_meshoutcomes_t *k, const lw_stream_origin_t *origin,
+				const lw_answer_t *a, lw_str_t body, uint64_t now_us)
 {
 	size_t len = a->head.len + body.len;
-	lw_kept_t *o;
+	lw_retained_outcome_t *o;
 
-	if (!origin->link || len > KEPT_ONE_BYTES)
+	if (!origin->link || len > ANSWER_MAX_BYTES)
 		return;
 	o = xcalloc(1, sizeof(*o) + len);
 	o->origin = *origin;
@@ -71,10 +72,10 @@
 }
 
 /* lw_meshkept_failure() - the request ended without an answer, and @why. */
-void lw_meshkept_failure(lw_meshkept_t *k, const lw_origin_t *origin, lw_fail_t why,
-			 uint32_t retry_after_ms, uint64_t now_us)
+void lw_meshoutcomes_add_failure(lw_meshoutcomes_t *k, const lw_stream_origin_t *origin,
+				 lw_fail_t why, uint32_t retry_after_ms, uint64_t now_us)
 {
-	lw_kept_t *o;
+	lw_retained_outcome_t *o;
 
 	if (!origin->link)
 		return;
@@ -86,12 +87,13 @@
 }
 
 /* lw_meshkept_find() - the outcome of the request sent over @link as @id; NULL: it is not kept. */
-const lw_kept_t *lw_meshkept_find(const lw_meshkept_t *k, uint64_t link, uint32_t id)
+const lw_retained_outcome_t *lw_meshoutcomes_find(const lw_meshoutcomes_t *k, uint64_t link,
+						  uint32_t id)
 {
-	lw_kept_t key, *o;
+	lw_retained_outcome_t key, *o;
 
 	memset(&key, 0, sizeof(key));
-	key.origin = (lw_origin_t){ link, id };
+	key.origin = (lw_stream_origin_t){ link, id };
 	HASH_FIND(hh, k->by_origin, &key.origin, sizeof(key.origin), o);
 	return o;
 }
--- a/src/meshquota.c
+++ b/src/meshquota.c
@@ -2,37 +2,37 @@
 #include "mesh_int.h"
 
 /* entries that one frame may name: a frame may say anything */
-#define ENTRIES_MOST 4096
+#define ENTRIES_MAX 4096
 /* demand is told in thousandths of a request a second, up to this */
-#define DEMAND_MOST (UINT32_MAX / 1000)
+#define DEMAND_MAX (UINT32_MAX / 1000)
 
 /* the parts of the frame that is being sent or taken */
-static lw_quota_use_t uses_in[ENTRIES_MOST];
-static lw_quota_term_t terms_in[ENTRIES_MOST];
-static lw_quota_term_t terms_out[ENTRIES_MOST];
-static Lw__QuotaUse use_wire[ENTRIES_MOST];
-static Lw__QuotaUse *use_list[ENTRIES_MOST];
-static Lw__QuotaTerm term_wire[ENTRIES_MOST];
-static Lw__QuotaTerm *term_list[ENTRIES_MOST];
+static lw_quota_use_t uses_in[ENTRIES_MAX];
+static lw_quota_term_t terms_in[ENTRIES_MAX];
+static lw_quota_term_t terms_out[ENTRIES_MAX];
+static Lw__QuotaUse use_wire[ENTRIES_MAX];
+static Lw__QuotaUse *use_list[ENTRIES_MAX];
+static Lw__QuotaTerm term_wire[ENTRIES_MAX];
+static Lw__QuotaTerm *term_list[ENTRIES_MAX];
 
 static size_t bounded(size_t n)
 {
-	return n < ENTRIES_MOST ? n : ENTRIES_MOST;
+	return n < ENTRIES_MAX ? n : ENTRIES_MAX;
 }
 
 static uint32_t demand_milli(double per_s)
 {
-	return per_s < DEMAND_MOST ? (uint32_t)(per_s * 1000 + 0.5) : UINT32_MAX;
+	return per_s < DEMAND_MAX ? (uint32_t)(per_s * 1000 + 0.5) : UINT32_MAX;
 }
 
 /*
  * lw_mesh_report_quota() - send @uses of this node, whose digest is @node, to the node
  * @keeper; false if there is no connection that it could go over now.
  */
-bool lw_mesh_report_quota(lw_mesh_t *m, const char *keeper, uint64_t node, uint32_t number,
+bool lw_mesh_report_quota(lw_mesh_t *m, const char *coordinator, uint64_t node, uint32_t number,
 			  const lw_quota_use_t *uses, size_t n)
 {
-	lw_link_t *l = lw_link_to(m, keeper);
+	lw_link_t *l = lw_link_to(m, coordinator);
 	Lw__QuotaReport w = LW__QUOTA_REPORT__INIT;
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
 
@@ -84,7 +84,7 @@
 	for (size_t i = 0; i < n; i++)
 		uses_in[i] = (lw_quota_use_t){ w->uses[i]->org, w->uses[i]->asked,
 					       w->uses[i]->admitted };
-	n = m->ops->quota_report(m->ctx, w->node, uses_in, n, terms_out, ENTRIES_MOST);
+	n = m->ops->quota_report(m->ctx, w->node, uses_in, n, terms_out, ENTRIES_MAX);
 	send_terms(l, w->number, terms_out, n);
 }
 
--- a/src/meshfate.c
+++ b/src/meshrecover.c
@@ -16,7 +16,7 @@
  * asks. Shorter than the half second in which the work of a caller that left
  * must have stopped, us.
  */
-#define ORPHAN_WAIT_US 300000
+#define ORPHAN_GRACE_US 300000
 
 /*
  * lw_stream_unsent() - whether none of its bytes left this host. A stream that moved here counts its bytes on
@@ -39,7 +39,7 @@
 		bool unsent = lw_stream_unsent(s);
 
 		nunsent += unsent && !job;
-		nmoved += s->id >= LW_STREAM_MOVED;
+		nmoved += s->id >= LW_STREAM_MOVED_MIN;
 		lw_stream_free(s);
 		if (job)
 			job->ops->cancel(job);
@@ -52,7 +52,8 @@
 		       l->node, (unsigned long long)l->name, l->outgoing, n, nunsent, nmoved,
 		       (unsigned long long)l->written_total,
 		       l->orphan_us ?
-			       (unsigned long long)((l->mesh->hub->now_us - l->orphan_us) / 1000) :
+			       (unsigned long long)((l->mesh->evloop->now_us - l->orphan_us) /
+						    1000) :
 			       0);
 	lw_link_free(l);
 }
@@ -65,7 +66,7 @@
 {
 	lw_stream_t *s, *tmp;
 
-	lw_link_cut_held(l);
+	lw_link_discard_held(l);
 	HASH_ITER(hh, l->streams, s, tmp)
 	{
 		lw_sink_t *sink = s->call.sink;
@@ -78,7 +79,7 @@
 }
 
 /* lw_link_may_wait() - whether the streams of a lost connection may have another fate. */
-bool lw_link_may_wait(const lw_link_t *l)
+bool lw_link_can_recover(const lw_link_t *l)
 {
 	return l->outgoing ? l->peer_incarnation != 0 : l->name != 0;
 }
@@ -98,16 +99,16 @@
 {
 	lw_mesh_t *m = l->mesh;
 
-	l->orphan_us = m->hub->now_us;
+	l->orphan_us = m->evloop->now_us;
 	l->next = m->orphans;
 	m->orphans = l;
 	if (!ev_is_active(&m->watch))
-		ev_timer_again(m->hub->loop, &m->watch);
+		ev_timer_again(m->evloop->loop, &m->watch);
 	if (l->outgoing)
-		lw_mesh_ask_fate(l);
+		lw_mesh_query_link(l);
 }
 
-static void orphan_over(lw_link_t *l)
+static void end_orphan(lw_link_t *l)
 {
 	unlink_orphan(l);
 	lw_link_drop_streams(l);
@@ -126,7 +127,7 @@
 	for (lw_link_t *l = m->orphans; l; l = next) {
 		next = l->next;
 		if (l->outgoing && strcmp(l->node, node) == 0)
-			orphan_over(l);
+			end_orphan(l);
 	}
 }
 
@@ -157,23 +158,23 @@
  */
 static bool never_came(const lw_mesh_t *m, uint64_t link, const lw_link_t *old, uint32_t id)
 {
-	if (id >= LW_STREAM_MOVED)
+	if (id >= LW_STREAM_MOVED_MIN)
 		return false;
 	if (old)
 		return id >= old->last_open;
-	return lw_meshpast_never(&m->past, link, id, m->hub->now_us);
+	return lw_meshclosed_never_received(&m->closed_links, link, id, m->evloop->now_us);
 }
 
 /* what became of request @id of the connection asked about, @old if it is still open */
-static void find_fate(lw_link_t *to, const Lw__FateQuery *q, const lw_link_t *old, uint32_t id,
-		      Lw__Fate *fate)
+static void determine_fate(lw_link_t *to, const Lw__FateQuery *q, const lw_link_t *old, uint32_t id,
+			   Lw__Fate *fate)
 {
 	lw_mesh_t *m = to->mesh;
-	lw_stream_t *s = lw_stream_by_origin(m->taken, q->link, id);
+	lw_stream_t *s = lw_stream_by_origin(m->incoming, q->link, id);
 
 	lw__fate__init(fate);
 	fate->stream = id;
-	if (!s && lw_meshkept_find(&m->kept, q->link, id)) {
+	if (!s && lw_meshoutcomes_find(&m->outcomes, q->link, id)) {
 		fate->kind = LW__FATE_KIND__FATE_MOVED;
 		fate->moved_to = to->next_moved++;
 		return;
@@ -183,12 +184,12 @@
 			fate->kind = LW__FATE_KIND__FATE_NEVER;
 		return;
 	}
-	if (q->number && q->number < s->question)
+	if (q->number && q->number < s->query_number)
 		return; /* asked again meanwhile: whoever asked waits for that answer */
-	s->question = q->number;
+	s->query_number = q->number;
 	if (!can_move(s))
 		return;
-	s->named = m->heard;
+	s->named_by = m->queries_handled;
 	if (s->link != to)
 		lw_stream_move(s, to, to->next_moved++);
 	fate->kind = LW__FATE_KIND__FATE_MOVED;
@@ -205,7 +206,7 @@
 	return n;
 }
 
-static void log_told(const lw_link_t *l, const lw_link_t *old, const Lw__Fates *w)
+static void log_fates(const lw_link_t *l, const lw_link_t *old, const Lw__Fates *w)
 {
 	lw_log(LW_LOG_fate_told,
 	       "link=%016llx over=%016llx known=%d lost=%d opened=%u streams=%zu moved=%u never=%u maybe_ran=%u incarnation=%016llx",
@@ -222,14 +223,15 @@
 {
 	for (size_t i = 0; i < w->n_fates; i++) {
 		const Lw__Fate *fate = w->fates[i];
-		const lw_kept_t *o = lw_meshkept_find(&l->mesh->kept, w->link, fate->stream);
+		const lw_retained_outcome_t *o =
+			lw_meshoutcomes_find(&l->mesh->outcomes, w->link, fate->stream);
 
 		if (o && fate->kind == LW__FATE_KIND__FATE_MOVED)
-			lw_mesh_send_kept(l, fate->moved_to, o);
+			lw_mesh_send_outcome(l, fate->moved_to, o);
 	}
 }
 
-static void tell(lw_link_t *l, const Lw__FateQuery *q, const lw_link_t *old)
+static void send_fates(lw_link_t *l, const Lw__FateQuery *q, const lw_link_t *old)
 {
 	Lw__Fate *fate = xcalloc(q->n_streams + 1, sizeof(*fate));
 	Lw__Fate **list = xcalloc(q->n_streams + 1, sizeof(void *));
@@ -237,7 +239,7 @@
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
 
 	for (size_t i = 0; i < q->n_streams; i++) {
-		find_fate(l, q, old, q->streams[i], &fate[i]);
+		determine_fate(l, q, old, q->streams[i], &fate[i]);
 		list[i] = &fate[i];
 	}
 	w.link = q->link;
@@ -247,7 +249,7 @@
 	f.body_case = LW__MESH_FRAME__BODY_FATES;
 	f.fates = &w;
 	lw_link_send(l, &f);
-	log_told(l, old, &w);
+	log_fates(l, old, &w);
 	send_outcomes(l, &w);
 	free(list);
 	free(fate);
@@ -259,14 +261,14 @@
  * question moved stays. A node of an older version does not number its questions
  * and names only what is still on the connection.
  */
-static void end_unnamed(lw_mesh_t *m, const Lw__FateQuery *q, const lw_link_t *old)
+static void cancel_unnamed(lw_mesh_t *m, const Lw__FateQuery *q, const lw_link_t *old)
 {
-	lw_stream_t **ended = xcalloc(HASH_CNT(by_origin, m->taken) + 1, sizeof(void *));
+	lw_stream_t **ended = xcalloc(HASH_CNT(by_origin, m->incoming) + 1, sizeof(void *));
 	size_t n = 0;
 
-	for (lw_stream_t *s = m->taken; s; s = s->by_origin.next)
-		if (s->origin.link == q->link && s->named != m->heard &&
-		    (q->number ? s->question <= q->number : s->link == old))
+	for (lw_stream_t *s = m->incoming; s; s = s->by_origin.next)
+		if (s->origin.link == q->link && s->named_by != m->queries_handled &&
+		    (q->number ? s->query_number <= q->number : s->link == old))
 			ended[n++] = s;
 	/* an end may bring others about */
 	for (size_t i = 0; i < n; i++) {
@@ -292,11 +294,12 @@
 
 	if (old == l)
 		old = NULL;
-	m->heard++;
-	tell(l, q, old);
-	if (old || !lw_meshpast_has(&m->past, q->link))
-		lw_meshpast_note(&m->past, q->link, old ? old->last_open : 0, m->hub->now_us);
-	end_unnamed(m, q, old);
+	m->queries_handled++;
+	send_fates(l, q, old);
+	if (old || !lw_meshclosed_has(&m->closed_links, q->link))
+		lw_meshclosed_add(&m->closed_links, q->link, old ? old->last_open : 0,
+				  m->evloop->now_us);
+	cancel_unnamed(m, q, old);
 	if (old && !old->orphan_us)
 		lw_link_lost(old);
 }
@@ -311,8 +314,9 @@
 
 	for (lw_link_t *l = m->orphans; l; l = next) {
 		next = l->next;
-		if (!l->streams || (!l->outgoing && m->hub->now_us - l->orphan_us > ORPHAN_WAIT_US))
-			orphan_over(l);
+		if (!l->streams ||
+		    (!l->outgoing && m->evloop->now_us - l->orphan_us > ORPHAN_GRACE_US))
+			end_orphan(l);
 	}
-	lw_mesh_ask_again(m);
+	lw_mesh_retry_queries(m);
 }
--- a/src/meshnews.c
+++ b/src/meshstatus.c
@@ -6,9 +6,9 @@
 #include "storepos.h"
 
 /* a peer is given so long to learn a new configuration by itself, us */
-#define CONFIG_PUSH_US 600000
+#define CONFIG_PUSH_DELAY_US 600000
 /* levels are passed on over one connection so often at most, us */
-#define LEVELS_AGAIN_US 20000
+#define LEVELS_INTERVAL_US 20000
 
 /* lw_mesh_fill_load() - the load part of a frame; @out must stay until it is encoded. */
 void lw_mesh_fill_load(lw_link_t *l, lw_meshframe_load_t *out, const lw_load_t *load)
@@ -17,20 +17,21 @@
 
 	lw_meshframe_load(out, load);
 	out->load.config_version = m->ops->config_version(m->ctx);
-	if (m->hub->now_us - l->levels_us < LEVELS_AGAIN_US)
+	if (m->evloop->now_us - l->levels_us < LEVELS_INTERVAL_US)
 		return;
-	l->levels_us = m->hub->now_us;
-	lw_meshframe_heard(out, m->ops->levels(m->ctx, out->heard, LW_MESHFRAME_HEARD_MAX));
+	l->levels_us = m->evloop->now_us;
+	lw_meshframe_add_levels(out,
+				m->ops->known_levels(m->ctx, out->heard, LW_MESHFRAME_LEVELS_MAX));
 }
 
 /* lw_mesh_take_levels() - the levels that came with the load part of a frame. */
-void lw_mesh_take_levels(lw_link_t *l, const Lw__Load *load)
+void lw_mesh_read_levels(lw_link_t *l, const Lw__Load *load)
 {
 	for (size_t i = 0; load && i < load->n_heard; i++) {
 		lw_heard_t heard;
 
-		lw_meshframe_read_heard(load->heard[i], &heard);
-		l->mesh->ops->heard(l->mesh->ctx, &heard);
+		lw_meshframe_read_level(load->heard[i], &heard);
+		l->mesh->ops->level_received(l->mesh->ctx, &heard);
 	}
 }
 
@@ -110,24 +111,24 @@
  * this one: else this node would think itself up to date while it fetches. Nor does
  * it from one that is an era behind: what it read says nothing of the store now.
  */
-void lw_mesh_settle_news(lw_link_t *l)
+void lw_mesh_apply_store_read(lw_link_t *l)
 {
 	lw_mesh_t *m = l->mesh;
 
 	if (l->peer_revision <= own_revision(m) &&
 	    lw_storepos_same_era(l->peer_revision, own_revision(m)) &&
 	    l->peer_version <= m->ops->config_version(m->ctx))
-		m->ops->news(m->ctx, l->node, l->peer_news_us);
+		m->ops->store_read(m->ctx, l->node, l->peer_store_read_us);
 }
 
 /* what a peer's status says of the store and of the documents it has */
-static void take_news(lw_link_t *l, const Lw__Status *w)
+static void apply_peer_documents(lw_link_t *l, const Lw__Status *w)
 {
 	lw_mesh_t *m = l->mesh;
 	uint64_t age_us = (uint64_t)w->news_age_ms * 1000;
 	uint64_t own = own_revision(m);
 
-	l->peer_news_us = m->hub->now_us > age_us ? m->hub->now_us - age_us : 0;
+	l->peer_store_read_us = m->evloop->now_us > age_us ? m->evloop->now_us - age_us : 0;
 	if (w->servers_revision > own && own &&
 	    w->servers_hash == lw_revdoc_hash(servers_document(m))) {
 		m->ops->servers_confirmed(m->ctx, w->servers_revision);
@@ -139,7 +140,7 @@
 	if (w->is_reply &&
 	    (w->servers_revision < own || (!w->fetches && w->servers_revision > own)))
 		lw_mesh_send_status(l, true);
-	lw_mesh_settle_news(l);
+	lw_mesh_apply_store_read(l);
 }
 
 /* lw_mesh_on_status() - a peer told its state. */
@@ -149,27 +150,27 @@
 	bool greeted, first;
 
 	lw_meshframe_read_load(w->load, &load);
-	lw_mesh_take_levels(l, w->load);
+	lw_mesh_read_levels(l, w->load);
 	if (w->load)
 		l->peer_version = w->load->config_version;
 	if (l->outgoing && w->lapsed_id[0])
-		l->mesh->ops->vouched(l->mesh->ctx, l->node, w->lapsed_id, w->lapsed_born_ms);
+		l->mesh->ops->server_alive(l->mesh->ctx, l->node, w->lapsed_id, w->lapsed_born_ms);
 	if (l->outgoing && w->load)
 		l->mesh->ops->load(l->mesh->ctx, l->node, &load);
 	l->peer_revision = w->servers_revision;
 	l->peer_fetches = w->fetches;
-	greeted = lw_link_greeted(l);
+	greeted = lw_link_handshake_done(l);
 	first = !l->peer_incarnation;
 	l->peer_incarnation = w->incarnation;
 	if (first)
-		lw_mesh_greet_with_suspects(l);
+		lw_mesh_send_known_suspects(l);
 	if (!greeted && !load.limit)
 		lw_link_drop_unsent(l);
 	if (!l->outgoing && w->link) {
 		l->name = w->link;
-		l->barred = lw_meshpast_has(&l->mesh->past, w->link);
+		l->rejects_requests = lw_meshclosed_has(&l->mesh->closed_links, w->link);
 	}
-	take_news(l, w);
+	apply_peer_documents(l, w);
 	if (!w->is_reply)
 		lw_mesh_send_status(l, true);
 }
@@ -178,7 +179,7 @@
  * lw_mesh_vouch() - from now on tell with every status that @server lives
  * although its entry lapsed; empty: no more.
  */
-void lw_mesh_vouch(lw_mesh_t *m, const char *server, uint64_t born_ms)
+void lw_mesh_set_lapsed_server(lw_mesh_t *m, const char *server, uint64_t born_ms)
 {
 	lw_str_copy(m->lapsed_id, sizeof(m->lapsed_id), lw_str_c(server));
 	m->lapsed_born_ms = born_ms;
@@ -189,7 +190,7 @@
  * requests. They do so over connections of their own; what is told over one that
  * this node opened says nothing of its server to the other side.
  */
-void lw_mesh_announce(lw_mesh_t *m)
+void lw_mesh_broadcast_status(lw_mesh_t *m)
 {
 	for (lw_link_t *l = m->links; l; l = l->next)
 		if (!l->outgoing)
@@ -200,7 +201,7 @@
  * lw_mesh_tell() - tell @node this node's state: it asks for what it does not have
  * yet. One that is only being connected to is told with the first words.
  */
-void lw_mesh_tell(lw_mesh_t *m, const char *node)
+void lw_mesh_send_state(lw_mesh_t *m, const char *node)
 {
 	lw_link_t *l = lw_link_to(m, node);
 
@@ -212,45 +213,45 @@
 }
 
 /* lw_link_may_be_asked() - whether the process at the other end is there and heard. */
-bool lw_link_may_be_asked(const lw_link_t *l)
+bool lw_link_usable(const lw_link_t *l)
 {
 	return l->peer_incarnation && !l->silent && !l->closed;
 }
 
 /* lw_mesh_each_drawn() - call @fn with the connections to @nodes connected nodes, drawn at random. */
-void lw_mesh_each_drawn(lw_mesh_t *m, uint32_t nodes, lw_link_fn fn, const void *ctx)
+void lw_mesh_each_random(lw_mesh_t *m, uint32_t nodes, lw_link_fn fn, const void *ctx)
 {
 	uint32_t left = 0;
 
 	for (const lw_link_t *l = m->links; l; l = l->next)
-		left += lw_link_may_be_asked(l);
+		left += lw_link_usable(l);
 	for (lw_link_t *l = m->links; l && nodes; l = l->next) {
-		if (!lw_link_may_be_asked(l))
+		if (!lw_link_usable(l))
 			continue;
-		if (lw_hub_random(m->hub, left--) < nodes) {
+		if (lw_evloop_random(m->evloop, left--) < nodes) {
 			fn(l, ctx);
 			nodes--;
 		}
 	}
 }
 
-static void ask(lw_link_t *l, const void *ctx)
+static void request_status(lw_link_t *l, const void *ctx)
 {
 	(void)ctx;
 	lw_mesh_send_status(l, false);
 }
 
 /* lw_mesh_ask_news() - ask @nodes connected nodes, drawn at random, what they know. */
-void lw_mesh_ask_news(lw_mesh_t *m, uint32_t nodes)
+void lw_mesh_request_status(lw_mesh_t *m, uint32_t nodes)
 {
-	lw_mesh_each_drawn(m, nodes, ask, NULL);
+	lw_mesh_each_random(m, nodes, request_status, NULL);
 }
 
 /* lw_mesh_push_config() - a node that cannot reach the store gets the configuration from its peers */
 void lw_mesh_push_config(lw_link_t *l, uint64_t version, uint64_t now)
 {
-	if (l->peer_version && now - l->mesh->config_us < CONFIG_PUSH_US)
+	if (l->peer_version && now - l->mesh->config_us < CONFIG_PUSH_DELAY_US)
 		return;
-	if (now - l->opened_us >= CONFIG_PUSH_US)
+	if (now - l->opened_us >= CONFIG_PUSH_DELAY_US)
 		send_config(l, version);
 }
--- a/src/meshsuspects.c
+++ b/src/meshsuspects.c
@@ -6,16 +6,16 @@
 #include "mesh_int.h"
 
 /* nodes that hear of what is new here, drawn at random */
-#define PASS_ON_NODES 3
+#define FORWARD_NODES 3
 /* requests that a new connection begins with, and that a frame may name */
-#define GREETING_MOST 64
+#define SUSPECTS_MAX 64
 /* more trials than anybody keeps, and the longest hold, ms: a frame may say anything */
-#define TRIALS_MOST  100
-#define HELD_MOST_MS 3600000
+#define TRIALS_MAX  100
+#define HELD_MAX_MS 3600000
 
 typedef struct suspect_frame {
-	Lw__Suspect wire[GREETING_MOST];
-	Lw__Suspect *list[GREETING_MOST];
+	Lw__Suspect wire[SUSPECTS_MAX];
+	Lw__Suspect *list[SUSPECTS_MAX];
 } suspect_frame_t;
 
 static uint32_t age_ms(uint64_t at_us, uint64_t now_us)
@@ -46,10 +46,10 @@
 
 static lw_suspect_t read_suspect(const Lw__Suspect *in, uint64_t now_us)
 {
-	uint32_t held_ms = in->held_ms < HELD_MOST_MS ? in->held_ms : HELD_MOST_MS;
+	uint32_t held_ms = in->held_ms < HELD_MAX_MS ? in->held_ms : HELD_MAX_MS;
 	lw_suspect_t s = {
 		.print = { in->head, in->whole },
-		.trials = in->trials < TRIALS_MOST ? in->trials : TRIALS_MOST,
+		.trials = in->trials < TRIALS_MAX ? in->trials : TRIALS_MAX,
 		.ended_us = time_of(in->ended_age_ms, now_us),
 		.cleared_us = time_of(in->cleared_age_ms, now_us),
 		.held_until_us = held_ms ? now_us + (uint64_t)held_ms * 1000 : 0,
@@ -69,7 +69,7 @@
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
 
 	for (size_t i = 0; i < n; i++) {
-		fill(&frame.wire[i], suspects[i], l->mesh->hub->now_us);
+		fill(&frame.wire[i], suspects[i], l->mesh->evloop->now_us);
 		frame.list[i] = &frame.wire[i];
 	}
 	w.n_suspects = n;
@@ -80,20 +80,20 @@
 }
 
 /* lw_mesh_greet_with_suspects() - the peer may have begun just now and know of none. */
-void lw_mesh_greet_with_suspects(lw_link_t *l)
+void lw_mesh_send_known_suspects(lw_link_t *l)
 {
-	const lw_suspect_t *list[GREETING_MOST];
-	size_t n = l->mesh->ops->suspects(l->mesh->ctx, list, GREETING_MOST);
+	const lw_suspect_t *list[SUSPECTS_MAX];
+	size_t n = l->mesh->ops->known_suspects(l->mesh->ctx, list, SUSPECTS_MAX);
 
 	if (n)
 		send_suspects(l, list, n);
 }
 
 /* lw_mesh_tell_suspect() - tell all connected nodes what is known of a request. */
-void lw_mesh_tell_suspect(lw_mesh_t *m, const lw_suspect_t *s)
+void lw_mesh_broadcast_suspect(lw_mesh_t *m, const lw_suspect_t *s)
 {
 	for (lw_link_t *l = m->links; l; l = l->next)
-		if (lw_link_may_be_asked(l))
+		if (lw_link_usable(l))
 			send_suspects(l, &s, 1);
 }
 
@@ -102,7 +102,7 @@
  * requests @prints in hand. Told over the connections that requests come by, so
  * that it is there before their outcomes.
  */
-void lw_mesh_tell_ended(lw_mesh_t *m, uint64_t process, const lw_fingerprint_t *prints, size_t n)
+void lw_mesh_report_crash(lw_mesh_t *m, uint64_t process, const lw_fingerprint_t *prints, size_t n)
 {
 	uint64_t heads[LW_CRASH_SUSPECTS_MAX], wholes[LW_CRASH_SUSPECTS_MAX];
 	Lw__ServerEnded e = LW__SERVER_ENDED__INIT;
@@ -122,7 +122,7 @@
 	f.body_case = LW__MESH_FRAME__BODY_SUSPECTS;
 	f.suspects = &w;
 	for (lw_link_t *l = m->links; l; l = l->next)
-		if (!l->outgoing && lw_link_may_be_asked(l))
+		if (!l->outgoing && lw_link_usable(l))
 			lw_link_send(l, &f);
 }
 
@@ -133,21 +133,21 @@
 	send_suspects(l, &s, 1);
 }
 
-static void take(lw_mesh_t *m, const lw_suspect_t *told)
+static void apply_suspect(lw_mesh_t *m, const lw_suspect_t *told)
 {
-	const lw_suspect_t *news = m->ops->suspect(m->ctx, told);
+	const lw_suspect_t *news = m->ops->suspect_received(m->ctx, told);
 
 	if (news)
-		lw_mesh_each_drawn(m, PASS_ON_NODES, send_one, news);
+		lw_mesh_each_random(m, FORWARD_NODES, send_one, news);
 }
 
-static void take_ended(lw_mesh_t *m, const Lw__ServerEnded *w)
+static void apply_crash(lw_mesh_t *m, const Lw__ServerEnded *w)
 {
-	lw_suspect_t s = { .end = { w->process }, .nends = 1, .ended_us = m->hub->now_us };
+	lw_suspect_t s = { .end = { w->process }, .nends = 1, .ended_us = m->evloop->now_us };
 
 	for (size_t i = 0; i < w->n_heads && i < w->n_wholes && i < LW_CRASH_SUSPECTS_MAX; i++) {
 		s.print = (lw_fingerprint_t){ w->heads[i], w->wholes[i] };
-		take(m, &s);
+		apply_suspect(m, &s);
 	}
 }
 
@@ -157,10 +157,10 @@
 	lw_mesh_t *m = l->mesh;
 
 	if (w->ended)
-		take_ended(m, w->ended);
-	for (size_t i = 0; i < w->n_suspects && i < GREETING_MOST; i++) {
-		lw_suspect_t s = read_suspect(w->suspects[i], m->hub->now_us);
+		apply_crash(m, w->ended);
+	for (size_t i = 0; i < w->n_suspects && i < SUSPECTS_MAX; i++) {
+		lw_suspect_t s = read_suspect(w->suspects[i], m->evloop->now_us);
 
-		take(m, &s);
+		apply_suspect(m, &s);
 	}
 }
--- a/src/node.c
+++ b/src/node.c
@@ -328,7 +328,7 @@
 	lw_node_step(n, &ev);
 	pthread_mutex_unlock(&n->lock);
 	if (first)
-		lw_heartbeat_tell_callers(n);
+		lw_heartbeat_notify_callers(n);
 }
 
 /* lw_node_drained() - true when a drain, once started, has nothing left to do. */
--- a/src/node_int.h
+++ b/src/node_int.h
@@ -114,8 +114,8 @@
 lw_status_t lw_peersrv_start(lw_node_t *n);
 void lw_heartbeat_start(lw_node_t *n);
 void lw_heartbeat_fill(lw_node_t *n, Lw__Ping *ping);
-void lw_heartbeat_heard(lw_node_t *n, const Lw__Ping *ping);
-void lw_heartbeat_tell_callers(lw_node_t *n);
+void lw_heartbeat_received(lw_node_t *n, const Lw__Ping *ping);
+void lw_heartbeat_notify_callers(lw_node_t *n);
 void lw_confwatch_start(lw_node_t *n);
 bool lw_confwatch_fetching(lw_node_t *n);
 void lw_confwatch_peer_has(lw_node_t *n, const char *addr, uint64_t version);
--- a/src/peersrv.c
+++ b/src/peersrv.c
@@ -93,7 +93,7 @@
 	Lw__Frame out = LW__FRAME__INIT;
 	Lw__Ping pong = LW__PING__INIT;
 
-	lw_heartbeat_heard(n, ping);
+	lw_heartbeat_received(n, ping);
 	lw_heartbeat_fill(n, &pong);
 	pong.nonce = ping->nonce;
 	out.body_case = LW__FRAME__BODY_PONG;
--- a/src/probe.c
+++ b/src/probe.c
@@ -31,7 +31,7 @@
 	if (lw_httphead_find(h, LW_HEADER_NOT_RUN).ptr)
 		return true;
 	if (h->status == 200 && lw_str_eq_c(id, p->server_id))
-		p->healthy_us = p->hub->now_us;
+		p->healthy_us = p->evloop->now_us;
 	else
 		p->leaving = true;
 	return true;
@@ -74,10 +74,10 @@
 };
 
 /* lw_probe_init() - nothing is known of the server. */
-void lw_probe_init(lw_probe_t *p, lw_hub_t *hub)
+void lw_probe_init(lw_probe_t *p, lw_evloop_t *evloop)
 {
 	memset(p, 0, sizeof(*p));
-	p->hub = hub;
+	p->evloop = evloop;
 }
 
 static void give_up(lw_probe_t *p)
@@ -102,17 +102,17 @@
 	char head[2 * LW_NAME_MAX + 64];
 	int n;
 
-	if (p->conn && p->hub->now_us - p->began_us < ANSWER_US)
+	if (p->conn && p->evloop->now_us - p->began_us < ANSWER_US)
 		return;
 	give_up(p);
-	p->began_us = p->hub->now_us;
-	p->conn = lw_bconn_open(p->hub, p->hub->set->backend);
+	p->began_us = p->evloop->now_us;
+	p->conn = lw_bconn_open(p->evloop, p->evloop->set->backend);
 	if (!p->conn) {
 		p->leaving = true;
 		return;
 	}
 	n = snprintf(head, sizeof(head), "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n",
-		     path[0] ? path : PATH_DEFAULT, p->hub->set->backend);
+		     path[0] ? path : PATH_DEFAULT, p->evloop->set->backend);
 	lw_bconn_start(p->conn, &conn_ops, p, false);
 	lw_bconn_queue(p->conn, (lw_str_t){ head, (size_t)n });
 	lw_bconn_flush(p->conn);
--- a/src/probe.h
+++ b/src/probe.h
@@ -10,11 +10,11 @@
 #include <stdint.h>
 
 #include "bconn.h"
-#include "hub.h"
+#include "evloop.h"
 #include "platconf.h"
 
 typedef struct lw_probe {
-	lw_hub_t *hub;
+	lw_evloop_t *evloop;
 	lw_bconn_t *conn; /* of the check under way; NULL: none is */
 	uint64_t began_us;
 	char server_id[LW_NAME_MAX]; /* that must answer */
@@ -25,7 +25,7 @@
 	void *heard_ctx;
 } lw_probe_t;
 
-void lw_probe_init(lw_probe_t *p, lw_hub_t *hub);
+void lw_probe_init(lw_probe_t *p, lw_evloop_t *evloop);
 void lw_probe_reset(lw_probe_t *p, const char *server_id);
 void lw_probe_check(lw_probe_t *p, const char *path);
 
--- a/src/proxy.c
+++ b/src/proxy.c
@@ -56,11 +56,11 @@
 		.servers_revision = p->servers ? p->servers->revision : 0,
 		.news_age_ms = lw_proxy_news_age_ms(p),
 		.log_dropped = lw_log_dropped(),
-		.longest_turn_us = p->hub.longest_turn_us,
+		.longest_iteration_us = p->evloop.longest_iteration_us,
 		.suspects = lw_quarantine_count(p->engine.quarantine),
 		.reader = lw_spread_reads(&p->spread),
-		.ready = p->engine.conf && p->engine.place.nhosts && !p->hub.leaving,
-		.leaving = p->hub.leaving,
+		.ready = p->engine.conf && p->engine.place.nhosts && !p->evloop.leaving,
+		.leaving = p->evloop.leaving,
 	};
 
 	lw_gate_load(&p->engine.gate, &s.load);
@@ -75,7 +75,7 @@
 		.engine = &p->engine,
 		.servers_revision = p->servers ? p->servers->revision : 0,
 		.news_age_ms = lw_proxy_news_age_ms(p),
-		.ready = p->engine.conf && p->engine.place.nhosts && !p->hub.leaving,
+		.ready = p->engine.conf && p->engine.place.nhosts && !p->evloop.leaving,
 		.reader = lw_spread_reads(&p->spread),
 		.reads = p->reads,
 		.reads_why = p->reads_why,
@@ -130,9 +130,9 @@
 	p->term.data = p;
 	p->interrupt.data = p;
 	p->hangup.data = p;
-	ev_signal_start(p->hub.loop, &p->term);
-	ev_signal_start(p->hub.loop, &p->interrupt);
-	ev_signal_start(p->hub.loop, &p->hangup);
+	ev_signal_start(p->evloop.loop, &p->term);
+	ev_signal_start(p->evloop.loop, &p->interrupt);
+	ev_signal_start(p->evloop.loop, &p->hangup);
 }
 
 static lw_status_t listen_all(lw_proxy_t *p)
@@ -164,8 +164,8 @@
 	p->set = set;
 	p->path = path;
 	p->platform = platform;
-	lw_hub_init(&p->hub, set, platform->names, lw_now_us() ^ (uint64_t)getpid() << 32);
-	p->engine.hub = &p->hub;
+	lw_evloop_init(&p->evloop, set, platform->names, lw_now_us() ^ (uint64_t)getpid() << 32);
+	p->engine.evloop = &p->evloop;
 	p->engine.list_is_old = lw_proxy_list_is_old;
 	p->engine.news_age_ms = lw_proxy_news_age_ms;
 	p->engine.ctx = p;
@@ -175,14 +175,14 @@
 	lw_place_init(&p->engine.place, set->zone, set->backend, set->mesh_port,
 		      lw_proxyset_retryterms(set));
 	p->engine.quarantine = lw_quarantine_new();
-	lw_gate_init(&p->engine.gate, &p->hub, p->engine.quarantine);
+	lw_gate_init(&p->engine.gate, &p->evloop, p->engine.quarantine);
 	lw_proxy_notice_init(p);
 	lw_proxy_crash_init(p);
 	p->engine.hotpath = lw_hotpath_new();
-	p->engine.mesh = lw_mesh_new(&p->hub, &p->engine.gate, &lw_proxy_mesh_ops, p);
+	p->engine.mesh = lw_mesh_new(&p->evloop, &p->engine.gate, &lw_proxy_mesh_ops, p);
 	p->callers = lw_callers_new(&p->engine);
 	watch_signals(p);
-	lw_hub_on_tick(&p->hub, on_tick, p);
+	lw_evloop_on_tick(&p->evloop, on_tick, p);
 	st = listen_all(p);
 	if (!st)
 		st = lw_proxy_start_feed(p);
@@ -191,7 +191,7 @@
 	lw_log(LW_LOG_started, "service=%s zone=%s callers=%s backend=%s", set->service, set->zone,
 	       set->callers, set->backend);
 	lw_proxy_mask_signals(SIG_UNBLOCK);
-	ev_run(p->hub.loop, 0);
+	ev_run(p->evloop.loop, 0);
 	lw_log(LW_LOG_stopped, "active=%u", p->engine.active);
 	lw_log_flush();
 	return LW_OK;
--- a/src/proxy.h
+++ b/src/proxy.h
@@ -2,7 +2,7 @@
 #ifndef LW_PROXY_H
 #define LW_PROXY_H
 
-#include "feed.h"
+#include "storereader.h"
 #include "proxyset.h"
 #include "status.h"
 
--- a/src/proxy_int.h
+++ b/src/proxy_int.h
@@ -17,10 +17,10 @@
 	lw_proxyset_t *set;
 	const char *path; /* of the settings file */
 	const lw_platform_t *platform;
-	lw_hub_t hub;
+	lw_evloop_t evloop;
 	lw_engine_t engine;
 	lw_callers_t *callers;
-	lw_feed_t feed;
+	lw_storereader_t feed;
 	ev_async fed;
 	ev_signal term;
 	ev_signal interrupt;
@@ -38,7 +38,7 @@
 	uint64_t passed_us; /* the news that was passed on last */
 	uint64_t read_until_us; /* this node reads the store itself until then */
 	bool reads; /* this node reads the store itself */
-	lw_feed_why_t reads_why;
+	lw_storereader_reason_t reads_why;
 	ev_timer news_due;
 	lw_spread_t spread; /* this node's part in spreading news */
 	lw_revdoc_t documents[2]; /* the configuration, the list of backend servers */
@@ -82,7 +82,7 @@
 			     lw_quota_term_t *out, size_t most);
 void lw_proxy_quota_told(void *ctx, const char *node, uint32_t number, const lw_quota_term_t *told,
 			 size_t n);
-void lw_proxy_read_for(lw_proxy_t *p, uint64_t us, lw_feed_why_t why);
+void lw_proxy_read_for(lw_proxy_t *p, uint64_t us, lw_storereader_reason_t why);
 void lw_proxy_contact_lost(lw_proxy_t *p);
 uint32_t lw_proxy_news_age_ms(void *ctx);
 void lw_proxy_on_term(struct ev_loop *loop, ev_signal *w, int revents);
--- a/src/proxycrash.c
+++ b/src/proxycrash.c
@@ -23,16 +23,16 @@
 
 	for (uint32_t i = 0; i < crash->nsuspects; i++)
 		prints[i] = crash->suspects[i].print;
-	lw_mesh_tell_ended(p->engine.mesh, process, prints, crash->nsuspects);
+	lw_mesh_report_crash(p->engine.mesh, process, prints, crash->nsuspects);
 	for (uint32_t i = 0; i < crash->nsuspects; i++) {
 		const lw_suspect_t *s =
 			lw_quarantine_ended(p->engine.quarantine, &prints[i], process,
-					    crash->suspects[i].tried, p->hub.now_us);
+					    crash->suspects[i].tried, p->evloop.now_us);
 
 		if (!lw_suspect_matters(s))
 			continue;
-		log_change(s, p->hub.now_us, "end");
-		lw_mesh_tell_suspect(p->engine.mesh, s);
+		log_change(s, p->evloop.now_us, "end");
+		lw_mesh_broadcast_suspect(p->engine.mesh, s);
 	}
 }
 
@@ -40,10 +40,10 @@
 const lw_suspect_t *lw_proxy_suspect(void *ctx, const lw_suspect_t *told)
 {
 	lw_proxy_t *p = ctx;
-	const lw_suspect_t *s = lw_quarantine_told(p->engine.quarantine, told, p->hub.now_us);
+	const lw_suspect_t *s = lw_quarantine_told(p->engine.quarantine, told, p->evloop.now_us);
 
 	if (s)
-		log_change(s, p->hub.now_us, "peer");
+		log_change(s, p->evloop.now_us, "peer");
 	return s;
 }
 
@@ -59,7 +59,7 @@
 {
 	lw_proxy_t *p = ctx;
 
-	lw_quarantine_expire(p->engine.quarantine, p->hub.now_us);
+	lw_quarantine_expire(p->engine.quarantine, p->evloop.now_us);
 }
 
 /* lw_proxy_crash_init() - once the gate stands. */
@@ -67,5 +67,5 @@
 {
 	p->engine.gate.ended = on_server_ended;
 	p->engine.gate.ended_ctx = p;
-	lw_hub_on_tick(&p->hub, on_tick, p);
+	lw_evloop_on_tick(&p->evloop, on_tick, p);
 }
--- a/src/proxylease.c
+++ b/src/proxylease.c
@@ -15,10 +15,10 @@
 static lw_lease_evidence_t evidence(const lw_proxy_t *p)
 {
 	return (lw_lease_evidence_t){
-		.now_us = p->hub.now_us,
-		.read_us = lw_feed_last_read_us(&p->feed),
-		.failed_us = lw_feed_last_failure_us(&p->feed),
-		.pending = lw_feed_overdue(&p->feed, LW_LEASE_PENDING_US),
+		.now_us = p->evloop.now_us,
+		.read_us = lw_storereader_last_read_us(&p->feed),
+		.failed_us = lw_storereader_last_failure_us(&p->feed),
+		.pending = lw_storereader_call_overdue(&p->feed, LW_LEASE_PENDING_US),
 		.healthy_us = p->probe.healthy_us,
 		.leaving = p->probe.leaving || p->engine.gate.notice.leaving,
 	};
@@ -54,16 +54,16 @@
 /* the store is read by this node itself as long as the entry is missing */
 static void read_store(lw_proxy_t *p)
 {
-	lw_proxy_read_for(p, LEASE_READ_US, LW_FEED_LEASE);
+	lw_proxy_read_for(p, LEASE_READ_US, LW_STOREREADER_LEASE);
 }
 
 /* the other nodes, and this one's own placement, are told that the server lives */
 static void vouch(lw_proxy_t *p)
 {
 	lw_place_vouched(&p->engine.place, p->mesh_addr, p->engine.gate.server_id, p->born_ms,
-			 p->hub.now_us);
-	lw_mesh_vouch(p->engine.mesh, p->engine.gate.server_id, p->born_ms);
-	lw_mesh_announce(p->engine.mesh);
+			 p->evloop.now_us);
+	lw_mesh_set_lapsed_server(p->engine.mesh, p->engine.gate.server_id, p->born_ms);
+	lw_mesh_broadcast_status(p->engine.mesh);
 }
 
 static void on_step(struct ev_loop *loop, ev_timer *w, int revents)
@@ -79,19 +79,19 @@
 	}
 	if (p->lease.state == LW_LEASE_GONE && p->lease.left) {
 		ev_timer_stop(loop, w);
-		lw_mesh_vouch(p->engine.mesh, "", 0);
-		lw_mesh_announce(p->engine.mesh);
+		lw_mesh_set_lapsed_server(p->engine.mesh, "", 0);
+		lw_mesh_broadcast_status(p->engine.mesh);
 		return;
 	}
 	read_store(p);
-	if (!changed && p->hub.now_us - p->round_us < ROUND_US)
+	if (!changed && p->evloop.now_us - p->round_us < ROUND_US)
 		return;
-	p->round_us = p->hub.now_us;
+	p->round_us = p->evloop.now_us;
 	ask_server(p);
 	if (lw_lease_vouches(&p->lease, &ev))
 		vouch(p);
 	else
-		lw_mesh_vouch(p->engine.mesh, "", 0);
+		lw_mesh_set_lapsed_server(p->engine.mesh, "", 0);
 }
 
 /* lw_proxy_lease_missing() - the entry of the backend server here is not in the newest list. */
@@ -99,13 +99,13 @@
 {
 	if (p->lease.state != LW_LEASE_HELD)
 		return;
-	lw_lease_missing(&p->lease, p->hub.now_us);
+	lw_lease_missing(&p->lease, p->evloop.now_us);
 	lw_probe_reset(&p->probe, p->engine.gate.server_id);
-	p->round_us = p->hub.now_us;
+	p->round_us = p->evloop.now_us;
 	ask_server(p);
 	read_store(p);
-	lw_feed_hurry(&p->feed);
-	ev_timer_again(p->hub.loop, &p->lease_step);
+	lw_storereader_read_now(&p->feed);
+	ev_timer_again(p->evloop.loop, &p->lease_step);
 }
 
 /* lw_proxy_lease_found() - it is in the list, as the process that started at @born_ms. */
@@ -116,15 +116,15 @@
 		return;
 	lw_lease_found(&p->lease);
 	lw_log(LW_LOG_lease_changed, "server=%s state=held by=list", p->engine.gate.server_id);
-	ev_timer_stop(p->hub.loop, &p->lease_step);
-	lw_mesh_vouch(p->engine.mesh, "", 0);
+	ev_timer_stop(p->evloop.loop, &p->lease_step);
+	lw_mesh_set_lapsed_server(p->engine.mesh, "", 0);
 }
 
 /* lw_proxy_lease_init() - the lease is held until the list says otherwise. */
 void lw_proxy_lease_init(lw_proxy_t *p)
 {
 	lw_lease_found(&p->lease);
-	lw_probe_init(&p->probe, &p->hub);
+	lw_probe_init(&p->probe, &p->evloop);
 	p->probe.heard = lw_proxy_heard;
 	p->probe.heard_ctx = p;
 	ev_timer_init(&p->lease_step, on_step, 0, STEP_S);
--- a/src/proxynews.c
+++ b/src/proxynews.c
@@ -44,7 +44,7 @@
 	p->passed_us = p->news_us;
 	for (size_t i = 0; i < p->spread.nchildren; i++) {
 		lw_place_node_addr(node, sizeof(node), p->spread.child[i], p->set->mesh_port);
-		lw_mesh_tell(p->engine.mesh, node);
+		lw_mesh_send_state(p->engine.mesh, node);
 	}
 }
 
@@ -113,7 +113,7 @@
 		lw_serverlist_free(sl);
 		return;
 	}
-	lw_place_update(&p->engine.place, sl, p->hub.now_us, lapsed_until_us(p));
+	lw_place_update(&p->engine.place, sl, p->evloop.now_us, lapsed_until_us(p));
 	self = lw_place_self(&p->engine.place, &known);
 	lw_log(LW_LOG_servers_changed,
 	       "servers=%zu era=%u revision=%llu from=%s self=%s draining=%d", sl->nservers,
@@ -142,37 +142,38 @@
 }
 
 /* this node reads the store itself from now on */
-static void begin_reading(lw_proxy_t *p, lw_feed_why_t why)
+static void begin_reading(lw_proxy_t *p, lw_storereader_reason_t why)
 {
-	if (p->servers && lw_feed_rests(&p->feed))
+	if (p->servers && lw_storereader_is_idle(&p->feed))
 		lw_mailbox_put(&p->feed.in_use, lw_serverlist_copy(p->servers));
-	lw_feed_want(&p->feed, why);
-	lw_feed_set_patient(&p->feed, why == LW_FEED_NEWS_OLD && p->servers &&
-					      !lw_spread_steps_in(&p->spread));
+	lw_storereader_start(&p->feed, why);
+	lw_storereader_set_deferring(&p->feed, why == LW_STOREREADER_STALE && p->servers &&
+						       !lw_spread_steps_in(&p->spread));
 	/* several reasons may hold at once: only a new one that outlasts the others is told */
-	if (p->reads && (p->reads_why == why || why != LW_FEED_READER))
+	if (p->reads && (p->reads_why == why || why != LW_STOREREADER_ELECTED))
 		return;
 	p->reads = true;
 	p->reads_why = why;
 	lw_log(LW_LOG_store_reading, "why=%s news_age_ms=%u others_age_ms=%llu rank=%u",
-	       lw_feed_why_name(why), lw_proxy_news_age_ms(p),
-	       (unsigned long long)((p->hub.now_us - p->others_us) / 1000), p->spread.rank);
+	       lw_storereader_reason_name(why), lw_proxy_news_age_ms(p),
+	       (unsigned long long)((p->evloop.now_us - p->others_us) / 1000), p->spread.rank);
 }
 
 static void end_reading(lw_proxy_t *p)
 {
-	lw_feed_rest(&p->feed);
+	lw_storereader_stop(&p->feed);
 	if (p->reads)
 		lw_log(LW_LOG_store_reading, "why=none others_age_ms=%llu rank=%u",
-		       (unsigned long long)((p->hub.now_us - p->others_us) / 1000), p->spread.rank);
+		       (unsigned long long)((p->evloop.now_us - p->others_us) / 1000),
+		       p->spread.rank);
 	p->reads = false;
 }
 
 /* lw_proxy_read_for() - this node reads the store itself for @us at least. */
-void lw_proxy_read_for(lw_proxy_t *p, uint64_t us, lw_feed_why_t why)
+void lw_proxy_read_for(lw_proxy_t *p, uint64_t us, lw_storereader_reason_t why)
 {
-	if (p->read_until_us < p->hub.now_us + us)
-		p->read_until_us = p->hub.now_us + us;
+	if (p->read_until_us < p->evloop.now_us + us)
+		p->read_until_us = p->evloop.now_us + us;
 	begin_reading(p, why);
 }
 
@@ -183,14 +184,14 @@
  */
 static void decide_reading(lw_proxy_t *p)
 {
-	uint64_t now = p->hub.now_us;
+	uint64_t now = p->evloop.now_us;
 	bool old = now > p->others_us + (uint64_t)p->spread.patience_ms * 1000;
 
 	if (lw_spread_reads(&p->spread))
-		begin_reading(p, LW_FEED_READER);
+		begin_reading(p, LW_STOREREADER_ELECTED);
 	else if (old)
 		lw_proxy_read_for(p, lw_spread_steps_in(&p->spread) ? SUBSTITUTE_READ_US : 0,
-				  LW_FEED_NEWS_OLD);
+				  LW_STOREREADER_STALE);
 	else if (p->servers && now >= p->read_until_us)
 		end_reading(p);
 }
@@ -208,8 +209,8 @@
 	if (sl)
 		apply_servers(p, sl, "store");
 	update_ready(p);
-	if (lw_feed_last_read_us(&p->feed) > p->news_us) {
-		p->news_us = lw_feed_last_read_us(&p->feed);
+	if (lw_storereader_last_read_us(&p->feed) > p->news_us) {
+		p->news_us = lw_storereader_last_read_us(&p->feed);
 		pass_on(p);
 	}
 	decide_reading(p);
@@ -222,7 +223,7 @@
 	lw_proxy_t *p = ctx;
 
 	const lw_place_host_t *leaving =
-		lw_place_node_told(&p->engine.place, node, load, p->hub.now_us);
+		lw_place_node_told(&p->engine.place, node, load, p->evloop.now_us);
 
 	if (leaving)
 		lw_log(LW_LOG_server_leaving, "server=%s by=node", leaving->id);
@@ -232,7 +233,7 @@
 {
 	lw_proxy_t *p = ctx;
 
-	if (lw_place_vouched(&p->engine.place, node, server, born_ms, p->hub.now_us))
+	if (lw_place_vouched(&p->engine.place, node, server, born_ms, p->evloop.now_us))
 		lw_log(LW_LOG_server_vouched, "server=%s node=%s", server, node);
 }
 
@@ -240,14 +241,14 @@
 {
 	const lw_proxy_t *p = ctx;
 
-	return lw_hotpath_tell(p->engine.hotpath, p->hub.now_us, out, most);
+	return lw_hotpath_tell(p->engine.hotpath, p->evloop.now_us, out, most);
 }
 
 static void mesh_heard(void *ctx, const lw_heard_t *heard)
 {
 	lw_proxy_t *p = ctx;
 
-	lw_hotpath_heard(p->engine.hotpath, heard, p->hub.now_us);
+	lw_hotpath_heard(p->engine.hotpath, heard, p->evloop.now_us);
 }
 
 static void mesh_lost(void *ctx, const char *node, bool used)
@@ -255,7 +256,7 @@
 	lw_proxy_t *p = ctx;
 
 	lw_log(LW_LOG_node_lost, "node=%s used=%d", node, used);
-	lw_place_node_lost(&p->engine.place, node, used, p->hub.now_us);
+	lw_place_node_lost(&p->engine.place, node, used, p->evloop.now_us);
 	lw_proxy_quota_node_lost(p, node);
 }
 
@@ -318,7 +319,7 @@
 		p->others_us = at_us;
 		lw_str_copy(p->news_from, sizeof(p->news_from), lw_str_c(node));
 	}
-	lw_feed_others_read(&p->feed, at_us);
+	lw_storereader_note_remote_read(&p->feed, at_us);
 	if (at_us <= p->news_us)
 		return;
 	p->news_us = at_us;
@@ -328,10 +329,10 @@
 
 const lw_mesh_ops_t lw_proxy_mesh_ops = {
 	.load = mesh_load,
-	.vouched = mesh_vouched,
-	.lost = mesh_lost,
-	.levels = mesh_levels,
-	.heard = mesh_heard,
+	.server_alive = mesh_vouched,
+	.node_lost = mesh_lost,
+	.known_levels = mesh_levels,
+	.level_received = mesh_heard,
 	.config_version = mesh_config_version,
 	.document = mesh_document,
 	.config_received = mesh_config_received,
@@ -339,11 +340,11 @@
 	.servers_received = mesh_servers_received,
 	.servers_confirmed = mesh_servers_confirmed,
 	.news_age_ms = lw_proxy_news_age_ms,
-	.news = mesh_news,
+	.store_read = mesh_news,
 	.quota_report = lw_proxy_quota_report,
 	.quota_terms = lw_proxy_quota_told,
-	.suspect = lw_proxy_suspect,
-	.suspects = lw_proxy_suspects,
+	.suspect_received = lw_proxy_suspect,
+	.known_suspects = lw_proxy_suspects,
 };
 
 /*
@@ -355,11 +356,11 @@
 {
 	lw_proxy_t *p = ctx;
 
-	if (p->hub.now_us - p->hurried_us < HURRY_AGAIN_US)
+	if (p->evloop.now_us - p->hurried_us < HURRY_AGAIN_US)
 		return;
-	p->hurried_us = p->hub.now_us;
-	lw_proxy_read_for(p, HURRY_READ_US, LW_FEED_SERVER_REPLACED);
-	lw_feed_hurry(&p->feed);
+	p->hurried_us = p->evloop.now_us;
+	lw_proxy_read_for(p, HURRY_READ_US, LW_STOREREADER_SERVER_REPLACED);
+	lw_storereader_read_now(&p->feed);
 }
 
 /* try to reach a node that was lost; its first status clears it */
@@ -367,7 +368,7 @@
 {
 	lw_proxy_t *p = ctx;
 
-	lw_mesh_contact(p->engine.mesh, node);
+	lw_mesh_connect(p->engine.mesh, node);
 }
 
 /* lw_proxy_contact_lost() - try to reach the nodes that were lost. */
@@ -384,11 +385,11 @@
 {
 	lw_proxy_t *p = w->data;
 	uint64_t due = p->others_us + LW_NEWS_ASK_MS * 1000;
-	uint64_t left = due > p->hub.now_us ? due - p->hub.now_us : 0;
+	uint64_t left = due > p->evloop.now_us ? due - p->evloop.now_us : 0;
 
 	(void)revents;
 	if (!left) {
-		lw_mesh_ask_news(p->engine.mesh, LW_NEWS_ASK_NODES);
+		lw_mesh_request_status(p->engine.mesh, LW_NEWS_ASK_NODES);
 		left = ASK_AGAIN_US;
 	}
 	decide_reading(p);
@@ -411,18 +412,19 @@
 {
 	ev_async_init(&p->fed, on_fed);
 	p->fed.data = p;
-	ev_async_start(p->hub.loop, &p->fed);
-	lw_feed_init(&p->feed, p->set);
-	p->others_us = p->hub.now_us;
+	ev_async_start(p->evloop.loop, &p->fed);
+	lw_storereader_init(&p->feed, p->set);
+	p->others_us = p->evloop.now_us;
 	lw_spread_plan(&(lw_serverlist_t){ 0 }, p->set->backend, p->set->zone, &p->spread);
 	p->reads = true;
-	p->reads_why = LW_FEED_START;
+	p->reads_why = LW_STOREREADER_START;
 	ev_timer_init(&p->news_due, on_news_due, LW_NEWS_ASK_MS / 1000.0, 0);
 	p->news_due.data = p;
-	ev_timer_start(p->hub.loop, &p->news_due);
-	p->feed.conf = (lw_mailbox_t){ .release = free_conf, .loop = p->hub.loop, .wake = &p->fed };
+	ev_timer_start(p->evloop.loop, &p->news_due);
+	p->feed.conf =
+		(lw_mailbox_t){ .release = free_conf, .loop = p->evloop.loop, .wake = &p->fed };
 	p->feed.in_use = (lw_mailbox_t){ .release = free_servers };
 	p->feed.servers =
-		(lw_mailbox_t){ .release = free_servers, .loop = p->hub.loop, .wake = &p->fed };
-	return p->platform->start_feed(&p->feed);
+		(lw_mailbox_t){ .release = free_servers, .loop = p->evloop.loop, .wake = &p->fed };
+	return p->platform->start_store_reader(&p->feed);
 }
--- a/src/proxynotice.c
+++ b/src/proxynotice.c
@@ -13,7 +13,7 @@
 {
 	lw_proxy_t *p = ctx;
 
-	lw_mesh_announce(p->engine.mesh);
+	lw_mesh_broadcast_status(p->engine.mesh);
 }
 
 /* lw_proxy_heard() - the server has announced this in its answer to a health check. */
@@ -28,7 +28,7 @@
 {
 	const lw_gate_t *g = &p->engine.gate;
 	const char *by = g->named.heard_us ? "answer" : "peer";
-	uint64_t age_ms = g->named.heard_us ? (p->hub.now_us - g->named.heard_us) / 1000 : 0;
+	uint64_t age_ms = g->named.heard_us ? (p->evloop.now_us - g->named.heard_us) / 1000 : 0;
 
 	if (g->named.on)
 		lw_log(LW_LOG_server_limit, "server=%s limit_per_s=%.3f by=%s age_ms=%llu",
@@ -69,10 +69,10 @@
 {
 	const lw_notice_limit_t *named = &p->engine.gate.named;
 
-	if (!named->on || p->hub.now_us - named->heard_us < UNHEARD_US ||
-	    p->hub.now_us - p->limit_asked_us < UNHEARD_US)
+	if (!named->on || p->evloop.now_us - named->heard_us < UNHEARD_US ||
+	    p->evloop.now_us - p->limit_asked_us < UNHEARD_US)
 		return;
-	p->limit_asked_us = p->hub.now_us;
+	p->limit_asked_us = p->evloop.now_us;
 	lw_probe_reset(&p->limit_probe, p->engine.gate.server_id);
 	lw_probe_check(&p->limit_probe, lw_proxy_health_path(p));
 }
@@ -91,8 +91,8 @@
 {
 	p->engine.gate.noticed = lw_proxy_announce;
 	p->engine.gate.noticed_ctx = p;
-	lw_probe_init(&p->limit_probe, &p->hub);
+	lw_probe_init(&p->limit_probe, &p->evloop);
 	p->limit_probe.heard = lw_proxy_heard;
 	p->limit_probe.heard_ctx = p;
-	lw_hub_on_tick(&p->hub, on_tick, p);
+	lw_evloop_on_tick(&p->evloop, on_tick, p);
 }
--- a/src/proxyquota.c
+++ b/src/proxyquota.c
@@ -24,7 +24,7 @@
 
 static void report_to(lw_proxy_t *p, uint32_t keeper)
 {
-	uint64_t now = p->hub.now_us;
+	uint64_t now = p->evloop.now_us;
 	const char *node = p->quota_keeper[keeper];
 	size_t n = lw_quota_report(p->engine.quota, keeper, now, uses, REPORT_MOST);
 
@@ -42,12 +42,12 @@
 static void on_step(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_proxy_t *p = w->data;
-	bool alone = lw_quota_alone(p->engine.quota, p->hub.now_us);
+	bool alone = lw_quota_alone(p->engine.quota, p->evloop.now_us);
 
 	(void)loop;
 	(void)revents;
 	for (uint32_t i = 0; i < LW_QUOTA_KEEPERS; i++)
-		if (p->quota_keeper[i][0] && lw_quota_due(p->engine.quota, i, p->hub.now_us))
+		if (p->quota_keeper[i][0] && lw_quota_due(p->engine.quota, i, p->evloop.now_us))
 			report_to(p, i);
 	if (alone != p->quota_alone)
 		lw_log(LW_LOG_quota_alone, "alone=%d keepers=%s,%s", alone, p->quota_keeper[0],
@@ -97,11 +97,11 @@
 	const lw_orgs_t *orgs = p->engine.conf->orgs;
 
 	if (!orgs) {
-		ev_timer_stop(p->hub.loop, &p->quota_step);
+		ev_timer_stop(p->evloop.loop, &p->quota_step);
 		return;
 	}
-	lw_quotakeeper_limits(p->keeper, orgs, p->hub.now_us);
-	ev_timer_start(p->hub.loop, &p->quota_step);
+	lw_quotakeeper_limits(p->keeper, orgs, p->evloop.now_us);
+	ev_timer_start(p->evloop.loop, &p->quota_step);
 }
 
 /* lw_proxy_quota_terms() - the terms of the settings have changed. */
@@ -126,7 +126,7 @@
 			     lw_quota_term_t *out, size_t most)
 {
 	lw_proxy_t *p = ctx;
-	uint64_t now = p->hub.now_us;
+	uint64_t now = p->evloop.now_us;
 
 	lw_quotakeeper_took(p->keeper, node, reported, n, now);
 	return lw_quotakeeper_terms(p->keeper, reported, n, out, most, now);
@@ -140,19 +140,19 @@
 
 	for (uint32_t i = 0; i < LW_QUOTA_KEEPERS; i++)
 		if (number == p->quota_number[i] && strcmp(p->quota_keeper[i], node) == 0)
-			lw_quota_told(p->engine.quota, i, told, n, p->hub.now_us);
+			lw_quota_told(p->engine.quota, i, told, n, p->evloop.now_us);
 }
 
 /* lw_proxy_quota_init() - nothing is limited before a configuration is known. */
 void lw_proxy_quota_init(lw_proxy_t *p)
 {
 	lw_quotaterms_t t = terms_of(p->set);
-	uint64_t seed = (uint64_t)lw_hub_random(&p->hub, UINT32_MAX) << 32 |
-			lw_hub_random(&p->hub, UINT32_MAX);
+	uint64_t seed = (uint64_t)lw_evloop_random(&p->evloop, UINT32_MAX) << 32 |
+			lw_evloop_random(&p->evloop, UINT32_MAX);
 
 	p->quota_node = XXH3_64bits(p->mesh_addr, strlen(p->mesh_addr));
 	p->engine.quota = lw_quota_new(&t, seed);
-	p->keeper = lw_quotakeeper_new(&t, p->hub.now_us);
+	p->keeper = lw_quotakeeper_new(&t, p->evloop.now_us);
 	ev_timer_init(&p->quota_step, on_step, STEP_S, STEP_S);
 	p->quota_step.data = p;
 }
--- a/src/proxystats.c
+++ b/src/proxystats.c
@@ -204,9 +204,10 @@
 				lw_mesh_control_name(i), (unsigned long long)s->mesh.bytes_of[i]);
 	fprintf(f, "# HELP lw_store_calls_total calls to the configuration store\n"
 		   "# TYPE lw_store_calls_total counter\n");
-	for (int i = 0; i < LW_FEED_WHY_COUNT; i++)
+	for (int i = 0; i < LW_STOREREADER_REASON_COUNT; i++)
 		fprintf(f, "lw_store_calls_total{why=\"%s\"} %llu\n",
-			lw_feed_why_name((lw_feed_why_t)i), (unsigned long long)s->feed.calls[i]);
+			lw_storereader_reason_name((lw_storereader_reason_t)i),
+			(unsigned long long)s->feed.calls[i]);
 	counter(f, "lw_store_failures_total", "of these, failed", s->feed.failures);
 	counter(f, "lw_store_resyncs_total", "times everything was read anew", s->feed.resyncs);
 	gauge(f, "lw_store_reader", "1: this node reads the store for others", s->reader);
@@ -220,7 +221,7 @@
 	gauge(f, "lw_store_era", "era of the store that it is of",
 	      lw_storepos_era(s->servers_revision));
 	gauge(f, "lw_loop_longest_turn_us", "longest turn of the request loop since the start",
-	      s->longest_turn_us);
+	      s->longest_iteration_us);
 	gauge(f, "lw_ready", "1: callers may come", s->ready);
 	gauge(f, "lw_leaving", "1: stopping", s->leaving);
 	counter(f, "lw_log_dropped_total", "log lines dropped for volume", s->log_dropped);
--- a/src/proxystats.h
+++ b/src/proxystats.h
@@ -8,7 +8,7 @@
 
 #include "caller.h"
 #include "exchange.h"
-#include "feed.h"
+#include "storereader.h"
 #include "mesh.h"
 
 /* Organisations that are counted by name; the rest is one row. */
@@ -20,7 +20,7 @@
 	lw_gate_stats_t gate;
 	lw_mesh_stats_t mesh;
 	lw_callers_stats_t callers;
-	lw_feed_stats_t feed;
+	lw_storereader_stats_t feed;
 	lw_load_t load;
 	const lw_routestats_t *routes; /* copied when it is published */
 	uint32_t connections;
@@ -36,7 +36,7 @@
 	lw_quota_count_t other_orgs;
 	bool quota_alone; /* limits are kept by this node's own part */
 	size_t suspects; /* requests under which backend servers ended */
-	uint64_t longest_turn_us;
+	uint64_t longest_iteration_us;
 	bool reader;
 	bool ready;
 	bool leaving;
--- a/src/proxystatus.c
+++ b/src/proxystatus.c
@@ -48,7 +48,7 @@
 
 static void print_services(FILE *f, const lw_engine_t *e)
 {
-	uint64_t now = e->hub->now_us;
+	uint64_t now = e->evloop->now_us;
 
 	for (const lw_place_service_t *s = e->place.services; s; s = s->next) {
 		uint32_t level = lw_place_level(s, now);
@@ -65,13 +65,13 @@
 {
 	uint64_t calls = 0;
 
-	for (int i = 0; i < LW_FEED_WHY_COUNT; i++)
+	for (int i = 0; i < LW_STOREREADER_REASON_COUNT; i++)
 		calls += s->feed->calls[i];
 	fprintf(f,
 		"news: age_ms=%u from=%s reads_store=%s rank=%u told_nodes=%zu store_calls=%" PRIu64
 		" control_bytes=%" PRIu64 "\n",
 		s->news_age_ms, s->news_from[0] ? s->news_from : "none",
-		s->reads ? lw_feed_why_name(s->reads_why) : "no", s->spread->rank,
+		s->reads ? lw_storereader_reason_name(s->reads_why) : "no", s->spread->rank,
 		s->spread->nchildren, calls, lw_mesh_control_bytes(s->mesh));
 }
 
@@ -97,7 +97,7 @@
 	for (size_t i = 0; i < n; i++)
 		fprintf(f, "suspect: print=%016" PRIx64 " ends=%u trials=%u held_ms=%u\n",
 			list[i]->print.whole, list[i]->nends, list[i]->trials,
-			lw_quarantine_held_ms(e->quarantine, &list[i]->print, e->hub->now_us));
+			lw_quarantine_held_ms(e->quarantine, &list[i]->print, e->evloop->now_us));
 }
 
 static void print_organisations(FILE *f, const lw_proxystatus_t *s)
@@ -109,7 +109,7 @@
 	if (!e->conf || !e->conf->orgs)
 		return;
 	fprintf(f, "limits: organisations=%zu alone=%d keepers=%s,%s\n",
-		lw_orgs_count(e->conf->orgs), lw_quota_alone(e->quota, e->hub->now_us),
+		lw_orgs_count(e->conf->orgs), lw_quota_alone(e->quota, e->evloop->now_us),
 		s->quota_keeper[0][0] ? s->quota_keeper[0] : "none",
 		s->quota_keeper[1][0] ? s->quota_keeper[1] : "none");
 	for (size_t i = 0; i < n; i++)
@@ -132,8 +132,8 @@
 	fprintf(f,
 		"node: service=%s zone=%s ready=%d stopping=%d active=%u config=%" PRIu64
 		" store_era=%u servers_revision=%" PRIu64 " news_age_ms=%u reads_store=%d\n",
-		e->hub->set->service, e->hub->set->zone, s->ready, e->hub->leaving, e->active,
-		e->conf ? e->conf->version : 0, lw_storepos_era(s->servers_revision),
+		e->evloop->set->service, e->evloop->set->zone, s->ready, e->evloop->leaving,
+		e->active, e->conf ? e->conf->version : 0, lw_storepos_era(s->servers_revision),
 		lw_storepos_revision(s->servers_revision), s->news_age_ms, s->reader);
 	fprintf(f,
 		"backend: id=%s leaving=%d running=%u queued=%u limit=%u service_ms=%u level=%u "
--- a/src/proxystatus.h
+++ b/src/proxystatus.h
@@ -11,7 +11,7 @@
 #include <stdio.h>
 
 #include "exchange.h"
-#include "feed.h"
+#include "storereader.h"
 #include "spread.h"
 
 /* What the status tells beside the engine's own state. */
@@ -22,12 +22,12 @@
 	bool ready;
 	bool reader;
 	bool reads; /* the store, now */
-	lw_feed_why_t reads_why;
+	lw_storereader_reason_t reads_why;
 	const char *news_from; /* the node that told the newest news of others; empty: none did */
 	const lw_spread_t *spread;
 	const char (*quota_keeper)[LW_NAME_MAX]; /* LW_QUOTA_KEEPERS of them */
 	const lw_mesh_stats_t *mesh;
-	const lw_feed_stats_t *feed;
+	const lw_storereader_stats_t *feed;
 } lw_proxystatus_t;
 
 void lw_proxystatus_print(FILE *f, const lw_proxystatus_t *s);
--- a/src/proxystop.c
+++ b/src/proxystop.c
@@ -14,7 +14,8 @@
 	uint64_t ours = lw_engine_oldest_us(&p->engine);
 
 	if (!ours && !theirs)
-		return lw_callers_unwritten(p->callers) || lw_mesh_unwritten(p->engine.mesh);
+		return lw_callers_unwritten(p->callers) ||
+		       lw_mesh_has_unwritten_answers(p->engine.mesh);
 	return ours > theirs ? ours : theirs;
 }
 
@@ -37,7 +38,7 @@
 {
 	lw_engine_end_all(&p->engine);
 	lw_callers_end(p->callers);
-	lw_mesh_end(p->engine.mesh);
+	lw_mesh_close_all(p->engine.mesh);
 }
 
 /* the next steps of a stop */
@@ -45,29 +46,29 @@
 {
 	lw_proxy_t *p = w->data;
 	lw_stopstate_t state = {
-		.since_us = p->hub.now_us - p->leaving_us,
+		.since_us = p->evloop.now_us - p->leaving_us,
 		.grace_us = p->stop_grace_us,
 		.oldest_us = oldest_request_us(p),
-		.refusing_us = p->refusing_us ? p->hub.now_us - p->refusing_us : 0,
+		.refusing_us = p->refusing_us ? p->evloop.now_us - p->refusing_us : 0,
 		.at_work = p->engine.gate.ncalls || !p->engine.gate.refusing,
 	};
 	lw_stopplan_t plan = lw_stopplan(&state);
 
 	(void)revents;
-	if (plan.tell_peers && !p->hub.peers_told) {
+	if (plan.tell_peers && !p->evloop.peers_told) {
 		log_step(p, "peers_told", &state);
-		p->hub.peers_told = true;
-		lw_mesh_announce(p->engine.mesh);
+		p->evloop.peers_told = true;
+		lw_mesh_broadcast_status(p->engine.mesh);
 	}
 	if (plan.close_idle)
 		lw_callers_close_idle(p->callers);
 	if (plan.refuse && !p->engine.gate.refusing) {
 		log_step(p, "refusing", &state);
 		lw_gate_refuse(&p->engine.gate);
-		p->refusing_us = p->hub.now_us;
-		lw_mesh_announce(p->engine.mesh);
+		p->refusing_us = p->evloop.now_us;
+		lw_mesh_broadcast_status(p->engine.mesh);
 	}
-	p->hub.callers_refused = plan.refuse_callers;
+	p->evloop.callers_refused = plan.refuse_callers;
 	if (plan.close_listeners)
 		lw_callers_close_listeners(p->callers);
 	if (plan.exit) {
@@ -83,14 +84,14 @@
 	lw_proxy_t *p = w->data;
 
 	(void)revents;
-	if (p->hub.leaving)
+	if (p->evloop.leaving)
 		return;
 	lw_log(LW_LOG_stopping, "signal=%d active=%u running=%u", w->signum, p->engine.active,
 	       p->engine.gate.ncalls);
-	p->hub.leaving = true;
-	p->leaving_us = p->hub.now_us;
+	p->evloop.leaving = true;
+	p->leaving_us = p->evloop.now_us;
 	p->stop_grace_us = (uint64_t)(p->set->grace_s * 1e6);
-	p->hub.exit_us = p->leaving_us + lw_stopplan_exit_us(p->stop_grace_us);
+	p->evloop.exit_us = p->leaving_us + lw_stopplan_exit_us(p->stop_grace_us);
 	ev_timer_init(&p->stopping, go_on_stopping, LW_STOPPLAN_STEP_S, LW_STOPPLAN_STEP_S);
 	p->stopping.data = p;
 	ev_timer_start(loop, &p->stopping);
--- /dev/null
+++ b/src/storereader.h
@@ -0,0 +1,86 @@
+/*
+ * Where the configuration and the list of backend servers come from. The
+ * adapter of a platform implements it; the request loop takes the snapshots.
+ */
+#ifndef LW_STOREREADER_H
+#define LW_STOREREADER_H
+
+#include <pthread.h>
+#include <stdbool.h>
+#include <stdint.h>
+
+#include "fleetconf.h"
+#include "mailbox.h"
+#include "proxyset.h"
+#include "wirenames.h"
+
+/* Why this node reads the store itself. */
+typedef enum lw_storereader_reason {
+	LW_STOREREADER_START, /* it has read nothing yet */
+	LW_STOREREADER_ELECTED, /* it reads for all */
+	LW_STOREREADER_STALE, /* nothing was heard of those that read for all */
+	LW_STOREREADER_LEASE, /* the entry of its own backend server is missing */
+	LW_STOREREADER_SERVER_REPLACED, /* a server was replaced, and the list does not say so */
+	LW_STOREREADER_REASON_COUNT
+} lw_storereader_reason_t;
+
+typedef struct lw_storereader_stats {
+	uint64_t calls[LW_STOREREADER_REASON_COUNT]; /* to the store */
+	uint64_t failures;
+	uint64_t events;
+	uint64_t resyncs; /* read everything anew */
+} lw_storereader_stats_t;
+
+typedef struct lw_storereader {
+	const lw_proxyset_t *set;
+	lw_mailbox_t conf; /* lw_fleetconf_t */
+	lw_mailbox_t servers; /* lw_serverlist_t */
+	lw_mailbox_t
+		in_use; /* the other way: the list that a reader that begins again finds in use */
+	uint32_t enabled; /* the loop wants the store to be read; by lw_feed_want() */
+	uint32_t reason; /* lw_feed_why_t, of the newest wish; atomic */
+	uint32_t deferring; /* other nodes are the first to read again after an outage; atomic */
+	uint64_t read_us; /* boot time of the last successful read; atomic */
+	uint64_t
+		due_us; /* boot time from which the call under way is waited for; 0: none is; atomic */
+	uint64_t failed_us; /* boot time of the last failed call; atomic */
+	uint64_t remote_read_us; /* boot time of another node's last read, as told; atomic */
+	uint64_t remote_resumed_us; /* of their first read after a pause; atomic */
+	bool read_now; /* what was read last is known to be old; under the lock */
+	pthread_mutex_t lock;
+	pthread_cond_t wake;
+	lw_storereader_stats_t stats; /* written by the reader thread only */
+} lw_storereader_t;
+
+/* What the adapter of a platform provides. */
+typedef struct lw_platform {
+	const lw_wirenames_t *names;
+	/* path of the settings file; NULL if the platform does not tell */
+	const char *(*settings_path)(void);
+	/* starts a thread that fills the mailboxes; it runs until the process ends */
+	lw_status_t (*start_store_reader)(lw_storereader_t *feed);
+	/* reads a configuration document; LW_ERR_CONFIG with the reason */
+	lw_status_t (*parse_config)(const char *text, size_t len, lw_fleetconf_t **out);
+} lw_platform_t;
+
+void lw_storereader_init(lw_storereader_t *f, const lw_proxyset_t *set);
+const char *lw_storereader_reason_name(lw_storereader_reason_t reason);
+bool lw_storereader_is_idle(const lw_storereader_t *f);
+void lw_storereader_start(lw_storereader_t *f, lw_storereader_reason_t reason);
+void lw_storereader_stop(lw_storereader_t *f);
+void lw_storereader_set_deferring(lw_storereader_t *f, bool deferring);
+bool lw_storereader_is_deferring(const lw_storereader_t *f);
+bool lw_storereader_wait_started(lw_storereader_t *f);
+void lw_storereader_read_now(lw_storereader_t *f);
+void lw_storereader_pause(lw_storereader_t *f, uint32_t ms);
+void lw_storereader_call_started(lw_storereader_t *f, uint32_t wait_ms);
+void lw_storereader_call_failed(lw_storereader_t *f);
+void lw_storereader_call_succeeded(lw_storereader_t *f);
+void lw_storereader_note_remote_read(lw_storereader_t *f, uint64_t at_us);
+bool lw_storereader_remote_read_recently(const lw_storereader_t *f);
+uint64_t lw_storereader_last_read_us(const lw_storereader_t *f);
+uint64_t lw_storereader_last_known_read_us(const lw_storereader_t *f);
+uint64_t lw_storereader_last_failure_us(const lw_storereader_t *f);
+bool lw_storereader_call_overdue(const lw_storereader_t *f, uint64_t us);
+
+#endif
--- a/tests/test_docfetch.c
+++ b/tests/test_docfetch.c
@@ -87,28 +87,33 @@
 {
 	lw_docfetch_t f = { 0 };
 	lw_revdoc_t d = { 0 };
-	lw_docfetch_ask_t ask;
+	lw_docfetch_request_t ask;
 	lw_docfetch_piece_t p = { .of = { .version = 3, .len = 9, .length = 20 },
 				  .bytes = LW_STR("abc") };
 	char *got;
 	int source = 0, other = 0;
 
-	CU_ASSERT_EQUAL(lw_docfetch_take(&f, &source, &d, &p, 0, &ask, &got), LW_DOCFETCH_IGNORED);
-	lw_docfetch_begin(&f, &source, &d, 0, &ask);
-	CU_ASSERT_EQUAL(lw_docfetch_take(&f, &other, &d, &p, 0, &ask, &got), LW_DOCFETCH_IGNORED);
-	CU_ASSERT_EQUAL(lw_docfetch_take(&f, &source, &d, &p, 0, &ask, &got), LW_DOCFETCH_MORE);
+	CU_ASSERT_EQUAL(lw_docfetch_receive(&f, &source, &d, &p, 0, &ask, &got),
+			LW_DOCFETCH_IGNORED);
+	lw_docfetch_start(&f, &source, &d, 0, &ask);
+	CU_ASSERT_EQUAL(lw_docfetch_receive(&f, &other, &d, &p, 0, &ask, &got),
+			LW_DOCFETCH_IGNORED);
+	CU_ASSERT_EQUAL(lw_docfetch_receive(&f, &source, &d, &p, 0, &ask, &got), LW_DOCFETCH_MORE);
 	CU_ASSERT_EQUAL(ask.offset, 3);
 	p.offset = 6;
-	CU_ASSERT_EQUAL(lw_docfetch_take(&f, &source, &d, &p, 0, &ask, &got), LW_DOCFETCH_IGNORED);
+	CU_ASSERT_EQUAL(lw_docfetch_receive(&f, &source, &d, &p, 0, &ask, &got),
+			LW_DOCFETCH_IGNORED);
 	p.offset = 10;
-	CU_ASSERT_EQUAL(lw_docfetch_take(&f, &source, &d, &p, 0, &ask, &got), LW_DOCFETCH_IGNORED);
+	CU_ASSERT_EQUAL(lw_docfetch_receive(&f, &source, &d, &p, 0, &ask, &got),
+			LW_DOCFETCH_IGNORED);
 	p.offset = 3;
 	p.of.version = 4;
-	CU_ASSERT_EQUAL(lw_docfetch_take(&f, &source, &d, &p, 0, &ask, &got), LW_DOCFETCH_IGNORED);
-	CU_ASSERT_FALSE(lw_docfetch_may_begin(&f, LW_DOCFETCH_WAIT_US));
-	CU_ASSERT_TRUE(lw_docfetch_may_begin(&f, LW_DOCFETCH_WAIT_US + 1));
+	CU_ASSERT_EQUAL(lw_docfetch_receive(&f, &source, &d, &p, 0, &ask, &got),
+			LW_DOCFETCH_IGNORED);
+	CU_ASSERT_FALSE(lw_docfetch_can_start(&f, LW_DOCFETCH_TIMEOUT_US));
+	CU_ASSERT_TRUE(lw_docfetch_can_start(&f, LW_DOCFETCH_TIMEOUT_US + 1));
 	lw_docfetch_source_lost(&f, &source);
-	CU_ASSERT_TRUE(lw_docfetch_may_begin(&f, 0));
+	CU_ASSERT_TRUE(lw_docfetch_can_start(&f, 0));
 }
 
 /* The search: nodes that fetch from each other over connections that lose, delay and double frames. */
@@ -127,7 +132,7 @@
 	bool is_piece;
 	int from, to;
 	uint32_t era; /* of both ends: a frame of a connection before a restart never comes */
-	lw_docfetch_ask_t ask;
+	lw_docfetch_request_t ask;
 	lw_docfetch_piece_t piece;
 	char *bytes;
 } frame_t;
@@ -172,32 +177,32 @@
 	memset(f, 0, sizeof(*f));
 }
 
-static void ask_from(int node, int source, const lw_docfetch_ask_t *ask)
+static void ask_from(int node, int source, const lw_docfetch_request_t *ask)
 {
 	post(&(frame_t){ .from = node, .to = source, .ask = *ask });
 }
 
 static void begin(int node, int source)
 {
-	lw_docfetch_ask_t ask;
+	lw_docfetch_request_t ask;
 
 	if (source == node ||
 	    lw_revdoc_version(&run.doc[source]) <= lw_revdoc_version(&run.doc[node]) ||
-	    !lw_docfetch_may_begin(&run.fetch[node], run.now_us))
+	    !lw_docfetch_can_start(&run.fetch[node], run.now_us))
 		return;
-	lw_docfetch_begin(&run.fetch[node], &run.doc[source], &run.doc[node], run.now_us, &ask);
+	lw_docfetch_start(&run.fetch[node], &run.doc[source], &run.doc[node], run.now_us, &ask);
 	ask_from(node, source, &ask);
 }
 
 static void take_piece(const frame_t *f)
 {
 	uint64_t before = lw_revdoc_version(&run.doc[f->to]);
-	lw_docfetch_ask_t ask;
+	lw_docfetch_request_t ask;
 	lw_str_t want;
 	char *got;
 
-	switch (lw_docfetch_take(&run.fetch[f->to], &run.doc[f->from], &run.doc[f->to], &f->piece,
-				 run.now_us, &ask, &got)) {
+	switch (lw_docfetch_receive(&run.fetch[f->to], &run.doc[f->from], &run.doc[f->to],
+				    &f->piece, run.now_us, &ask, &got)) {
 	case LW_DOCFETCH_MORE:
 		ask_from(f->to, f->from, &ask);
 		break;
--- a/tests/test_main.c
+++ b/tests/test_main.c
@@ -15,8 +15,8 @@
 	suite_frame();
 	suite_net();
 	suite_meshframe();
-	suite_meshpast();
-	suite_meshkept();
+	suite_meshclosed();
+	suite_meshoutcomes();
 	suite_docfetch();
 	suite_documents();
 	suite_lease();
--- a/tests/test_meshframe.c
+++ b/tests/test_meshframe.c
@@ -23,7 +23,7 @@
 	CU_ASSERT_EQUAL(back->open->stream, 7);
 	CU_ASSERT_EQUAL(back->open->body_length, -1);
 	CU_ASSERT_TRUE(lw_str_eq_c(lw_meshframe_str(back->open->head), "GET / HTTP/1.1\r\n"));
-	lw_meshframe_done(back);
+	lw_meshframe_free(back);
 	lw_bytebuf_free(&b);
 }
 
@@ -84,7 +84,7 @@
 	CU_ASSERT_EQUAL(back->servers[0].born_ms, 1700000000123);
 	CU_ASSERT_TRUE(back->servers[0].draining);
 	lw_serverlist_free(back);
-	lw_meshframe_done(f);
+	lw_meshframe_free(f);
 	lw_bytebuf_free(&b);
 }
 
--- a/tests/test_meshkept.c
+++ b/tests/test_meshoutcomes.c
@@ -2,28 +2,28 @@
 #include <string.h>
 
 #include "lwtest.h"
-#include "meshkept.h"
+#include "meshoutcomes.h"
 
 #define SECOND_US 1000000ull
 
 static const lw_answer_t ok = { 200, 2, { "HTTP/1.1 200 OK\r\n", 17 } };
 
-static void keep(lw_meshkept_t *k, uint64_t id, uint64_t now_us)
+static void keep(lw_meshoutcomes_t *k, uint64_t id, uint64_t now_us)
 {
-	lw_origin_t origin = { 9, id };
+	lw_stream_origin_t origin = { 9, id };
 
-	lw_meshkept_answer(k, &origin, &ok, LW_STR("hi"), now_us);
+	lw_meshoutcomes_add_answer(k, &origin, &ok, LW_STR("hi"), now_us);
 }
 
 static void test_finds_what_is_kept(void)
 {
-	lw_meshkept_t k = { 0 };
-	lw_origin_t refused = { 9, 4 };
-	const lw_kept_t *o;
+	lw_meshoutcomes_t k = { 0 };
+	lw_stream_origin_t refused = { 9, 4 };
+	const lw_retained_outcome_t *o;
 
 	keep(&k, 3, SECOND_US);
-	lw_meshkept_failure(&k, &refused, LW_FAIL_BUSY, 250, SECOND_US);
-	o = lw_meshkept_find(&k, 9, 3);
+	lw_meshoutcomes_add_failure(&k, &refused, LW_FAIL_BUSY, 250, SECOND_US);
+	o = lw_meshoutcomes_find(&k, 9, 3);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(o);
 	if (!o)
 		return;
@@ -31,39 +31,39 @@
 	CU_ASSERT_EQUAL(o->answer.status, 200);
 	CU_ASSERT_TRUE(lw_str_eq_c(o->answer.head, "HTTP/1.1 200 OK\r\n"));
 	CU_ASSERT_TRUE(lw_str_eq_c(o->body, "hi"));
-	o = lw_meshkept_find(&k, 9, 4);
+	o = lw_meshoutcomes_find(&k, 9, 4);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(o);
 	if (!o)
 		return;
 	CU_ASSERT_EQUAL(o->why, LW_FAIL_BUSY);
 	CU_ASSERT_EQUAL(o->retry_after_ms, 250);
-	CU_ASSERT_PTR_NULL(lw_meshkept_find(&k, 8, 3));
+	CU_ASSERT_PTR_NULL(lw_meshoutcomes_find(&k, 8, 3));
 	/* a later one drops those that are too old */
 	keep(&k, 5, 10 * SECOND_US);
-	CU_ASSERT_PTR_NULL(lw_meshkept_find(&k, 9, 3));
-	CU_ASSERT_PTR_NOT_NULL(lw_meshkept_find(&k, 9, 5));
+	CU_ASSERT_PTR_NULL(lw_meshoutcomes_find(&k, 9, 3));
+	CU_ASSERT_PTR_NOT_NULL(lw_meshoutcomes_find(&k, 9, 5));
 }
 
 static void test_bounded(void)
 {
 	static char big[20000];
-	lw_meshkept_t k = { 0 };
-	lw_origin_t origin = { 9, 1 }, nameless = { 0, 2 };
+	lw_meshoutcomes_t k = { 0 };
+	lw_stream_origin_t origin = { 9, 1 }, nameless = { 0, 2 };
 
-	lw_meshkept_answer(&k, &origin, &ok, (lw_str_t){ big, sizeof(big) }, SECOND_US);
-	lw_meshkept_answer(&k, &nameless, &ok, LW_STR("hi"), SECOND_US);
+	lw_meshoutcomes_add_answer(&k, &origin, &ok, (lw_str_t){ big, sizeof(big) }, SECOND_US);
+	lw_meshoutcomes_add_answer(&k, &nameless, &ok, LW_STR("hi"), SECOND_US);
 	CU_ASSERT_PTR_NULL(k.oldest);
 	for (uint64_t id = 0; id < 300; id++) {
 		origin.id = id;
-		lw_meshkept_answer(&k, &origin, &ok, (lw_str_t){ big, 10000 }, SECOND_US);
+		lw_meshoutcomes_add_answer(&k, &origin, &ok, (lw_str_t){ big, 10000 }, SECOND_US);
 	}
 	CU_ASSERT_TRUE(k.bytes <= 1024 * 1024);
-	CU_ASSERT_PTR_NULL(lw_meshkept_find(&k, 9, 0));
-	CU_ASSERT_PTR_NOT_NULL(lw_meshkept_find(&k, 9, 299));
+	CU_ASSERT_PTR_NULL(lw_meshoutcomes_find(&k, 9, 0));
+	CU_ASSERT_PTR_NOT_NULL(lw_meshoutcomes_find(&k, 9, 299));
 }
 
 /* suite_meshkept() - register the tests of this file. */
-void suite_meshkept(void)
+void suite_meshoutcomes(void)
 {
 	CU_pSuite s = CU_add_suite("meshkept", NULL, NULL);
 
