--- a/src/docfetch.c
+++ b/src/docfetch.c
@@ -1,4 +1,4 @@
-/* Fetching documents in pieces; see docfetch.h. */
+/* Transfer of documents in chunks; see docfetch.h. */
 #include "docfetch.h"
 
 #include <stdlib.h>
@@ -19,15 +19,18 @@
 	f->source = NULL;
 }
 
-/* lw_docfetch_may_begin() - no fetch is under way, or its source does not answer. */
+/*
+ * lw_docfetch_can_start() - returns true if no transfer is active or its source does not
+ * answer.
+ */
 bool lw_docfetch_can_start(const lw_docfetch_t *f, uint64_t now_us)
 {
 	return !f->source || now_us - f->request_us > LW_DOCFETCH_TIMEOUT_US;
 }
 
 /*
- * lw_docfetch_begin() - fetch what @source has newer than @d; send it @ask. A
- * fetch under way is given up.
+ * lw_docfetch_start() - starts to fetch what @source has newer than @d; the caller sends
+ * @ask to it. An active transfer is abandoned.
  */
 void lw_docfetch_start(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d, uint64_t now_us,
 		       lw_docfetch_request_t *ask)
@@ -40,7 +43,7 @@
 	*ask = (lw_docfetch_request_t){ .base = f->without_base ? 0 : lw_revdoc_hash(d) };
 }
 
-/* whether the piece goes on where the last one ended; a first one always does */
+/* returns true if the chunk continues the received data; a first chunk always does */
 static bool piece_fits(const lw_docfetch_t *f, const lw_docfetch_piece_t *p)
 {
 	if (!p->bytes.len || p->of.len > LW_REVDOC_MAX_BYTES ||
@@ -67,9 +70,9 @@
 }
 
 /*
- * lw_docfetch_take() - a piece came from @source. With LW_DOCFETCH_MORE send
- * @ask; with LW_DOCFETCH_DONE @out is the document, to be freed, and
- * piece->of tells its version and length.
+ * lw_docfetch_receive() - processes a chunk from @source. On LW_DOCFETCH_MORE the caller
+ * sends @ask. On LW_DOCFETCH_DONE @out is the document, which the caller frees, and
+ * piece->of has its version and length.
  */
 lw_docfetch_result_t lw_docfetch_receive(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d,
 					 const lw_docfetch_piece_t *piece, uint64_t now_us,
@@ -91,7 +94,7 @@
 	return st ? LW_DOCFETCH_CORRUPT : LW_DOCFETCH_DONE;
 }
 
-/* lw_docfetch_source_lost() - nothing more comes from @source. */
+/* lw_docfetch_source_lost() - no more chunks will come from @source. */
 void lw_docfetch_source_lost(lw_docfetch_t *f, const void *source)
 {
 	if (f->failed == source)
@@ -101,9 +104,9 @@
 }
 
 /*
- * lw_docfetch_piece() - the piece of @d that another node asks for; it points
- * into @d. A version that is not the newest any more begins anew with the
- * newest. False if there is none.
+ * lw_docfetch_piece() - returns in @out the chunk of @d that another node requests; it
+ * points into @d. If the requested version is no longer the newest, the transfer restarts
+ * with the newest. Returns false if there is no document.
  */
 bool lw_docfetch_piece(lw_revdoc_t *d, const lw_docfetch_request_t *ask, lw_docfetch_piece_t *out)
 {
--- a/src/docfetch.h
+++ b/src/docfetch.h
@@ -1,9 +1,9 @@
 /*
- * Fetching a document from another node, piece by piece: the next piece is asked
- * for when the one before has come, so that a large document never fills a
- * connection that carries requests. One fetch is under way at a time. Failures
- * it answers: the source falls silent or is lost, its document changes midway,
- * a piece comes late or twice. No I/O; the time is given.
+ * Transfer of a document from another node in chunks. The next chunk is requested only
+ * after the previous one has arrived, so that a large document never fills a connection
+ * that carries requests. One transfer per document is active at a time. Handles a source
+ * that becomes silent or is lost, a document that changes during the transfer, and late or
+ * duplicate chunks. No I/O; the caller passes the time.
  */
 #ifndef LW_DOCFETCH_H
 #define LW_DOCFETCH_H
@@ -14,40 +14,41 @@
 
 #include "revdoc.h"
 
-/* Bytes of one piece. */
+/* Maximum size of one chunk, in bytes. */
 #define LW_DOCFETCH_PIECE 16384u
-/* Another source is asked when no piece has come for so long, us. */
+/* After this time without a chunk another source may be used, in us. */
 #define LW_DOCFETCH_TIMEOUT_US 300000
 
-/* What is asked of the source. */
+/* Request for a chunk, sent to the source. */
 typedef struct lw_docfetch_request {
-	uint64_t version; /* that the asker has begun to fetch; 0: whatever is newest */
-	uint64_t base; /* hash of the asker's own version; 0: it has none */
-	size_t offset; /* in the encoded form */
+	uint64_t version; /* version whose transfer has started; 0: the newest */
+	uint64_t base; /* hash of the version that the requester has; 0: none */
+	size_t offset; /* offset in the encoded form */
 } lw_docfetch_request_t;
 
-/* A part of an encoded document. */
+/* A chunk of an encoded document. */
 typedef struct lw_docfetch_piece {
-	lw_revdoc_encoded_t of; /* without its bytes; len is that of all pieces */
+	/* the document without its bytes; len is the total encoded length */
+	lw_revdoc_encoded_t of;
 	size_t offset;
 	lw_str_t bytes;
 } lw_docfetch_piece_t;
 
 typedef enum lw_docfetch_result {
-	LW_DOCFETCH_IGNORED, /* not what was asked for */
-	LW_DOCFETCH_MORE, /* ask for the next piece */
+	LW_DOCFETCH_IGNORED, /* not the requested chunk */
+	LW_DOCFETCH_MORE, /* request the next chunk */
 	LW_DOCFETCH_DONE, /* the document is complete */
-	LW_DOCFETCH_CORRUPT, /* it was not what it should be; the fetch is over */
+	LW_DOCFETCH_CORRUPT, /* the document is corrupt; the transfer is aborted */
 } lw_docfetch_result_t;
 
 typedef struct lw_docfetch {
-	const void *source; /* asked now; NULL: no fetch is under way */
-	const void *failed; /* the last one that did not answer */
+	const void *source; /* current source; NULL: no transfer is active */
+	const void *failed; /* the last source that did not answer */
 	uint64_t request_us;
-	bool without_base; /* differences did not fit: ask for all of it */
-	uint64_t
-		rejected_version; /* version that was whole and yet of no use here; it is not asked for again */
-	lw_revdoc_encoded_t got; /* len: of what has come so far */
+	bool without_base; /* decoding the difference failed: request the whole document */
+	/* complete version that this node could not use; it is not requested again */
+	uint64_t rejected_version;
+	lw_revdoc_encoded_t got; /* the data received so far; len is its length */
 	size_t expected; /* length of the encoded form */
 } lw_docfetch_t;
 
--- a/src/evloop.h
+++ b/src/evloop.h
@@ -1,6 +1,6 @@
 /*
- * What the parts of the request loop share: the event loop, the time, the
- * settings, and objects to be freed once no callback can still hold them.
+ * Event loop context shared by the modules of the request loop: the loop, the current time,
+ * the settings, and deferred freeing of objects that callbacks may still use.
  */
 #ifndef LW_EVLOOP_H
 #define LW_EVLOOP_H
@@ -15,7 +15,7 @@
 
 typedef void (*lw_evloop_fn)(void *ctx);
 
-/* Called on an event of the loop; subscribed with lw_hub_on_*(). */
+/* Callback on a loop event, registered with lw_evloop_on_*(). */
 typedef struct lw_evloop_hook {
 	lw_evloop_fn fn;
 	void *ctx;
@@ -27,17 +27,20 @@
 	struct ev_loop *loop;
 	const lw_proxyset_t *set;
 	const lw_wirenames_t *names;
-	uint64_t now_us; /* boot time at the start of this turn of the loop */
-	uint64_t suspended_us; /* how long the host or process stood still before this turn */
-	bool leaving; /* SIGTERM came: callers are told not to come */
-	uint64_t exit_us; /* the process is gone by then, in boot time; 0: it does not stop */
-	bool callers_refused; /* only calls of running requests are still taken on this host */
-	bool peers_told; /* other nodes are told to send work elsewhere */
+	uint64_t now_us; /* boot time at the start of this loop iteration */
+	/* how long the host or process was suspended before this iteration */
+	uint64_t suspended_us;
+	bool leaving; /* SIGTERM was received: callers are asked to use other nodes */
+	/* time by which the process exits, in boot time; 0: it is not stopping */
+	uint64_t exit_us;
+	/* only calls made by running requests are still accepted on this host */
+	bool callers_refused;
+	bool peers_told; /* other nodes were asked to send requests elsewhere */
 	ev_prepare prepare;
 	ev_check check;
 	ev_timer tick;
-	uint64_t mono_us; /* monotonic time at the start of this turn */
-	uint64_t longest_iteration_us; /* since the start of the process */
+	uint64_t mono_us; /* monotonic time at the start of this iteration */
+	uint64_t longest_iteration_us; /* since the process started */
 	lw_evloop_hook_t tick_hooks[LW_EVLOOP_HOOKS_MAX];
 	size_t ntick;
 	lw_evloop_hook_t flush_hooks[LW_EVLOOP_HOOKS_MAX];
@@ -45,10 +48,10 @@
 	void **garbage;
 	size_t ngarbage;
 	size_t garbage_cap;
-	uint64_t rng; /* state of the random numbers */
+	uint64_t rng; /* state of the random number generator */
 } lw_evloop_t;
 
-/* Period of the tick that parts subscribe to, in seconds. */
+/* Period of the tick callbacks, in seconds. */
 #define LW_EVLOOP_TICK_S 0.5
 
 void lw_evloop_init(lw_evloop_t *h, const lw_proxyset_t *set, const lw_wirenames_t *names,
--- a/src/frame.h
+++ b/src/frame.h
@@ -1,7 +1,7 @@
 /*
- * Frames between nodes: a 4-byte big-endian length, then one protobuf-c
- * encoded Lw__Frame (proto/lw.proto). Frames above LW_FRAME_MAX are refused
- * so a corrupt length cannot make a node allocate gigabytes.
+ * Frames between nodes: a 4-byte big-endian length, followed by one protobuf-c encoded
+ * Lw__Frame (proto/lw.proto). Frames above LW_FRAME_MAX are rejected, so that a corrupt
+ * length cannot make a node allocate gigabytes.
  */
 #ifndef LW_FRAME_H
 #define LW_FRAME_H
--- a/src/mailbox.h
+++ b/src/mailbox.h
@@ -1,6 +1,6 @@
 /*
- * Hands the newest snapshot from one thread to another without a lock: neither
- * waits, an older snapshot not yet taken is released.
+ * Passes the newest snapshot from one thread to another without locks. Neither thread
+ * waits; an older snapshot that was not taken yet is released.
  */
 #ifndef LW_MAILBOX_H
 #define LW_MAILBOX_H
@@ -11,7 +11,7 @@
 typedef struct lw_mailbox {
 	void *slot;
 	void (*release)(void *snapshot);
-	struct ev_loop *loop; /* woken by a new snapshot; may be NULL */
+	struct ev_loop *loop; /* event loop to wake up for a new snapshot; may be NULL */
 	ev_async *wake;
 } lw_mailbox_t;
 
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -1,6 +1,6 @@
 /*
- * Connections between nodes. Many requests share one connection, as streams
- * of frames with credit, so that a large body does not hold up small requests.
+ * Connections between nodes. Many requests share one connection as multiplexed streams with
+ * per-stream flow control, so that a large body does not delay small requests.
  */
 #ifndef LW_MESH_H
 #define LW_MESH_H
@@ -16,43 +16,65 @@
 #include "quota.h"
 #include "revdoc.h"
 
-/* Kinds of frames, and one that is none. */
+/* Number of values of Lw__MeshFrame__BodyCase, NOT_SET included. */
 #define LW_MESH_FRAME_KINDS 17
 
 typedef struct lw_mesh lw_mesh_t;
 
-/* What the mesh tells the rest of the node; @ctx is given to lw_mesh_new(). */
+/*
+ * Callbacks through which the mesh reports to the rest of the node and reads its state.
+ * @ctx is the context passed to lw_mesh_new().
+ */
 typedef struct lw_mesh_ops {
 	void (*load)(void *ctx, const char *node, const lw_load_t *load);
-	/* the node says that its backend server lives though its entry lapsed */
+	/*
+	 * @node asserts that its backend server is alive although the server's lease in the
+	 * store expired
+	 */
 	void (*server_alive)(void *ctx, const char *node, const char *server, uint64_t born_ms);
-	/* the connection to it is lost or silent; @used: it had carried something */
+	/* the connection to @node was lost or went silent; @used: it had carried data before */
 	void (*node_lost)(void *ctx, const char *node, bool used);
-	/* levels this node has news of, for others; and one that another node told */
+	/*
+	 * admission thresholds known here, to be passed on to other nodes; returns their
+	 * number
+	 */
 	uint32_t (*known_levels)(void *ctx, lw_heard_t *out, uint32_t most);
+	/* another node reported an admission threshold */
 	void (*level_received)(void *ctx, const lw_heard_t *heard);
 	uint64_t (*config_version)(void *ctx);
-	/* the document of a kind, 0: configuration, 1: backend servers, in the newest version here */
+	/*
+	 * the newest version held here of a document; @kind: 0 for the configuration, 1 for
+	 * the backend servers
+	 */
 	lw_revdoc_t *(*document)(void *ctx, int kind);
 	void (*config_received)(void *ctx, lw_str_t text);
 	/* the list of backend servers in use; NULL if there is none */
 	const lw_serverlist_t *(*servers)(void *ctx);
 	void (*servers_received)(void *ctx, lw_serverlist_t *sl);
-	/* the list in use is also that of a newer revision */
+	/* the list in use is unchanged at the newer revision @revision */
 	void (*servers_confirmed)(void *ctx, uint64_t revision);
-	/* how old this node's news from the store is */
+	/* time since the store was last read, as far as this node knows */
 	uint32_t (*news_age_ms)(void *ctx);
-	/* @node, which has nothing newer than this one, knows of a read of the store at @at_us */
+	/*
+	 * @node, which has no newer document than this node, knows that the store was read
+	 * at @at_us
+	 */
 	void (*store_read)(void *ctx, const char *node, uint64_t at_us);
-	/* a node knows this of a request; returns what others must hear now, or NULL */
+	/*
+	 * another node reported what it knows of a suspect request; returns the record to
+	 * forward to other nodes at once, or NULL
+	 */
 	const lw_suspect_t *(*suspect_received)(void *ctx, const lw_suspect_t *told);
-	/* the node with this digest reports; returns what it has to know, at most @most */
+	/*
+	 * usage report of the node with digest @node; fills @out with at most @most answers
+	 * and returns their number
+	 */
 	size_t (*quota_report)(void *ctx, uint64_t node, const lw_quota_use_t *uses, size_t n,
 			       lw_quota_term_t *out, size_t most);
-	/* the keeper at @node has answered the report @number */
+	/* the quota coordinator at @node answered the report @number */
 	void (*quota_terms)(void *ctx, const char *node, uint32_t number,
 			    const lw_quota_term_t *terms, size_t n);
-	/* the requests that a node that begins must know of */
+	/* the suspect requests that a newly connected node must know; returns their number */
 	size_t (*known_suspects)(void *ctx, const lw_suspect_t **out, size_t most);
 } lw_mesh_ops_t;
 
@@ -60,13 +82,14 @@
 	uint64_t links_opened;
 	uint64_t links_lost;
 	uint64_t links_silent;
-	uint64_t queries; /* what became of the requests on a lost connection? */
-	uint64_t moved; /* requests that went on over another connection */
-	uint64_t never_received; /* requests a peer never got: placed elsewhere */
+	uint64_t queries; /* outcome queries sent for requests on lost connections */
+	uint64_t moved; /* requests that continued on another connection */
+	/* requests that a peer never received and that were sent elsewhere */
+	uint64_t never_received;
 	uint64_t frames_in;
 	uint64_t frames_out;
 	uint64_t bytes_out;
-	uint64_t bytes_of[LW_MESH_FRAME_KINDS]; /* queued, by kind of frame */
+	uint64_t bytes_of[LW_MESH_FRAME_KINDS]; /* bytes queued, by frame kind */
 } lw_mesh_stats_t;
 
 lw_mesh_t *lw_mesh_new(lw_evloop_t *evloop, lw_gate_t *gate, const lw_mesh_ops_t *ops, void *ctx);
--- a/src/mesh_int.h
+++ b/src/mesh_int.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the mesh module only; others use mesh.h. */
+/* Internal declarations of the mesh module; other modules include mesh.h. */
 #ifndef LW_MESH_INT_H
 #define LW_MESH_INT_H
 
@@ -11,76 +11,84 @@
 #include "meshclosed.h"
 #include "mesh.h"
 
-/* kinds of documents that are fetched: the configuration, the list of backend servers */
+/* number of document kinds: the configuration and the list of backend servers */
 #define LW_MESH_DOCUMENTS 2
-/* ids of streams that were moved to another connection begin here */
+/* lowest id of streams that were moved here from another connection */
 #define LW_STREAM_MOVED_MIN 0x80000000u
 
 typedef struct lw_link lw_link_t;
 
 /*
- * One request on a connection. On the side that sent it, it is the call; on
- * the side that runs it, it is the sink of a call at the gate.
+ * One request on a connection. On the sending node it acts as the call; on the executing
+ * node it acts as the sink of a call at the admission gate.
  */
 typedef struct lw_stream {
-	lw_call_t call; /* outgoing: sink is set */
-	lw_sink_t as_sink; /* incoming */
+	lw_call_t call; /* outgoing: its sink is set */
+	lw_sink_t as_sink; /* used by incoming streams */
 	lw_call_t *job; /* incoming: the call at the gate */
-	lw_link_t *link; /* it is on now */
-	uint32_t id; /* on that link */
+	lw_link_t *link; /* current connection */
+	uint32_t id; /* stream id on that connection */
 	lw_stream_origin_t origin;
-	uint64_t open_at; /* outgoing: bytes queued before its first frame, on its first link */
-	bool received; /* outgoing: the peer said that it has it */
-	uint64_t query_link; /* outgoing: name of the link with the question about it; 0: none */
-	uint64_t query_us; /* outgoing: when it was first asked about, 0: not */
-	bool silence_reported; /* outgoing: its sink knows that nothing is heard */
+	uint64_t open_at; /* outgoing: queued_total of its first connection when it was sent */
+	bool received; /* outgoing: the peer confirmed that it has the request */
+	/* outgoing: name of the connection that carries the pending outcome query; 0: none */
+	uint64_t query_link;
+	uint64_t query_us; /* outgoing: time of the first outcome query, 0: none sent */
+	bool silence_reported; /* outgoing: its sink was informed that the peer is silent */
 	bool dead;
-	bool request_whole; /* incoming: the body of the request is complete */
-	bool answering; /* incoming: a part of the answer was sent */
-	uint64_t query_number; /* incoming: number of the newest question about it */
-	uint64_t named_by; /* incoming: the question acted on last that named it, as counted here */
-	UT_hash_handle hh; /* in its link's streams, by id */
-	UT_hash_handle by_origin; /* in the mesh's sent or taken */
+	bool request_whole; /* incoming: the whole request body was received */
+	bool answering; /* incoming: a part of the response was sent */
+	uint64_t query_number; /* incoming: number of the newest outcome query about it */
+	/* incoming: local count of the last processed outcome query that named it */
+	uint64_t named_by;
+	UT_hash_handle hh; /* in lw_link.streams, by id */
+	UT_hash_handle by_origin; /* in lw_mesh.sent or lw_mesh.incoming */
 } lw_stream_t;
 
 struct lw_link {
 	lw_mesh_t *mesh;
 	int fd;
 	ev_io io;
-	char node[LW_NAME_MAX]; /* outgoing: its mesh address; incoming: its IP address */
+	char node[LW_NAME_MAX]; /* outgoing: mesh address of the peer; incoming: its IP address */
 	bool outgoing;
 	bool connecting;
 	bool closed;
 	bool dirty;
 	bool failed;
-	bool refused; /* nobody listens at its other end: that process is gone */
-	bool silent; /* carries no new requests */
-	bool rejects_requests; /* incoming: its requests were told as never received */
-	uint64_t name; /* drawn by the side that opened it; 0: not told yet */
-	uint64_t peer_incarnation; /* 0: not told yet */
-	uint32_t last_open; /* incoming: highest stream opened, plus one */
-	uint32_t next_moved; /* incoming: next id of a stream moved here */
-	uint32_t open_queries; /* outgoing: questions it carried that have no answer yet */
-	uint64_t orphan_us; /* the socket is gone, the streams still wait; since when */
+	bool refused; /* connection refused: the peer process has exited */
+	bool silent; /* the peer does not respond; no new requests are sent here */
+	/* incoming: its requests were already reported as never received */
+	bool rejects_requests;
+	uint64_t name; /* random id chosen by the node that opened it; 0: not known yet */
+	uint64_t peer_incarnation; /* 0: not known yet */
+	uint32_t last_open; /* incoming: highest stream id opened, plus one */
+	uint32_t next_moved; /* incoming: next id for a stream that is moved here */
+	uint32_t open_queries; /* outgoing: outcome queries sent here that are not answered yet */
+	/* time at which the connection was lost while requests still wait; 0: not lost */
+	uint64_t orphan_us;
 	uint32_t next_id;
 	lw_stream_t *streams;
 	lw_bytebuf_t in;
 	lw_bytebuf_t out;
-	lw_bytebuf_t cancelled_ids; /* ids of streams, while a host that stood still catches up */
-	uint64_t queued_total; /* bytes ever queued */
-	uint64_t written_total; /* bytes ever given to the kernel */
-	uint64_t handshake_bytes; /* outgoing: what may be written before the peer has spoken */
+	/* stream ids cancelled in the input buffer after a host suspend */
+	lw_bytebuf_t cancelled_ids;
+	uint64_t queued_total; /* bytes queued since the connection was opened */
+	uint64_t written_total; /* bytes written to the socket since the connection was opened */
+	/* outgoing: bytes that may be written before the peer's first frame */
+	uint64_t handshake_bytes;
 	uint64_t last_recv_us;
 	uint64_t opened_us;
-	uint64_t status_request_us; /* a status was asked for and has not come; 0: none */
-	uint64_t late_us; /* what is read now was sent so much earlier */
-	uint64_t peer_version; /* configuration in force at the peer, as far as told */
+	uint64_t status_request_us; /* time of the unanswered status request; 0: none */
+	uint64_t late_us; /* the data in the buffers is older than it seems by this time */
+	uint64_t peer_version; /* configuration version in use at the peer, as far as known */
 	uint64_t pushed_version;
-	uint64_t peer_revision; /* of its list of backend servers, as far as told */
+	/* revision of the peer's list of backend servers, as far as known */
+	uint64_t peer_revision;
 	uint64_t pushed_revision;
-	uint64_t peer_store_read_us; /* when the store was last read, as far as the peer knows */
-	bool peer_fetches; /* it asks for documents; it is not sent whole ones */
-	uint64_t levels_us; /* when levels were last passed on over it */
+	uint64_t peer_store_read_us; /* time of the last store read that the peer knows of */
+	/* the peer fetches documents in chunks; whole ones are not pushed to it */
+	bool peer_fetches;
+	uint64_t levels_us; /* when admission thresholds were last sent over it */
 	lw_link_t *next;
 	lw_link_t *next_dirty;
 };
@@ -93,20 +101,21 @@
 	int listen_fd;
 	ev_io accept_io;
 	lw_link_t *links;
-	lw_link_t *orphans; /* lost connections whose streams still wait */
-	lw_stream_t *sent; /* requests of this node, by origin */
-	lw_stream_t *incoming; /* requests of other nodes, by origin */
-	uint64_t queries_sent; /* questions asked: the number of the newest */
-	uint64_t queries_handled; /* questions of others acted on */
-	lw_meshoutcomes_t outcomes; /* what became of requests of others, of late */
-	lw_meshclosed_t closed_links; /* connections of others that may bring nothing more */
-	uint64_t incarnation; /* of this process */
-	char lapsed_id[LW_NAME_MAX]; /* of the backend server here, while its entry lapsed */
+	lw_link_t *orphans; /* lost connections whose requests still wait for their outcome */
+	lw_stream_t *sent; /* requests sent by this node, by origin */
+	lw_stream_t *incoming; /* requests received from other nodes, by origin */
+	uint64_t queries_sent; /* outcome queries sent; also the number of the newest one */
+	uint64_t queries_handled; /* outcome queries of other nodes processed */
+	lw_meshoutcomes_t outcomes; /* recent outcomes of requests of other nodes */
+	lw_meshclosed_t closed_links; /* closed connections of other nodes */
+	uint64_t incarnation; /* random id of this process */
+	/* id of the local backend server while its lease is expired; empty: not expired */
+	char lapsed_id[LW_NAME_MAX];
 	uint64_t lapsed_born_ms;
-	ev_timer watch; /* runs while requests are under way */
+	ev_timer watch; /* active while requests are in flight */
 	lw_docfetch_t fetch[LW_MESH_DOCUMENTS];
 	lw_link_t *dirty;
-	uint64_t config_us; /* when the configuration in force was first announced */
+	uint64_t config_us; /* when the configuration version in config_seen was first seen */
 	uint64_t config_seen;
 	lw_mesh_stats_t stats;
 };
--- a/src/meshask.c
+++ b/src/meshask.c
@@ -1,12 +1,11 @@
 /*
- * The side that asks what became of its requests. Failure it guards against:
- * something between two hosts loses track of open connections while new ones
- * work, or resets them, or a host stands still for a moment. The requests on such
- * a connection end as "may have run" although most wait in a buffer or run on
- * undisturbed; seen as a wave of 502 and 504 with healthy servers. The peer is
- * asked over another connection, and asked again until a question comes through:
- * what it never received is placed elsewhere, what runs there is answered over
- * the new connection.
+ * Queries the outcomes of requests whose connection was lost or became silent. A device
+ * between two hosts can lose track of open connections while new ones work, or reset them,
+ * and a host can be suspended for a moment. Without a query the requests on such a
+ * connection end as "may have been executed", although most of them wait in a buffer or are
+ * executed normally; seen as a burst of 502 and 504 with healthy servers. The peer is
+ * queried over another connection until a query succeeds: requests it never received are
+ * sent elsewhere, and those it executes are answered over the new connection.
  */
 #include "mesh_int.h"
 
@@ -17,16 +16,17 @@
 #include "xalloc.h"
 
 /*
- * No answer to the question after this: the peer is suspended or gone. A request
- * that may run twice goes elsewhere then, any other is waited for, us.
+ * Without a reply to the query after this time the peer is suspended or gone, in us.
+ * Requests that may be executed twice are then sent elsewhere; for any other the wait
+ * continues.
  */
 #define QUERY_TIMEOUT_US 600000
 
 /*
- * lw_mesh_forget_questions() - @l is lost or silent, and with it the questions it
- * carried: they are asked again over another connection. Left alone, a request
- * that the host has answered, or never had, ends 504 or 502: seen wherever a
- * host stands still longer than a connection waits for its first words.
+ * lw_mesh_reset_queries() - marks the queries sent over @l, which was lost or went silent,
+ * as unsent, so that they are sent again over another connection. Otherwise a request that
+ * the host has answered, or never received, would end as 504 or 502; seen whenever a host
+ * is suspended for longer than the handshake timeout.
  */
 void lw_mesh_reset_queries(const lw_link_t *l)
 {
@@ -37,7 +37,10 @@
 			s->query_link = 0;
 }
 
-/* all requests sent over @link that are not over, from now on named in a question; the caller frees them */
+/*
+ * returns the ids of all unfinished requests sent over @link and marks them as queried over
+ * @over; the caller frees the result
+ */
 static uint32_t *list_streams(lw_mesh_t *m, uint64_t link, const lw_link_t *over, size_t *n)
 {
 	uint32_t *ids = xcalloc(HASH_CNT(by_origin, m->sent), sizeof(*ids));
@@ -54,9 +57,9 @@
 }
 
 /*
- * Ask @over what became of what was sent over @link, all of it: the peer ends what
- * the question does not name, and it may not know where its sender believes a
- * request to be, as when word of a move was lost.
+ * Queries all requests sent over @link. The query must name all of them, as the peer
+ * cancels what it does not name, and the peer may not know on which connection the sender
+ * believes a request to be, for example when the reply that moved it was lost.
  */
 static void send_query(lw_link_t *over, uint64_t link, bool lost)
 {
@@ -80,8 +83,8 @@
 }
 
 /*
- * lw_mesh_ask_fate() - ask the peer what became of the requests on @l, if no
- * question about them is under way.
+ * lw_mesh_query_link() - queries the outcomes of the requests on @l that have no query in
+ * flight.
  */
 void lw_mesh_query_link(lw_link_t *l)
 {
@@ -97,7 +100,10 @@
 	}
 }
 
-/* nothing was heard of some requests for long: those that may run twice go elsewhere */
+/*
+ * reports requests without a reply for too long as silent, so that those that may be
+ * executed twice are sent elsewhere
+ */
 static void report_silence(lw_mesh_t *m)
 {
 	lw_stream_t *s, *next;
@@ -113,8 +119,8 @@
 }
 
 /*
- * lw_mesh_ask_again() - requests on lost and silent connections whose question was
- * lost are asked after again.
+ * lw_mesh_retry_queries() - repeats lost outcome queries for requests on lost and silent
+ * connections.
  */
 void lw_mesh_retry_queries(lw_mesh_t *m)
 {
@@ -127,7 +133,7 @@
 			lw_mesh_query_link(l);
 }
 
-/* the peer runs the request, and its answer comes over @l */
+/* the peer executes the request, and its response comes over @l */
 static void resume_stream(lw_stream_t *s, lw_link_t *l, uint32_t id)
 {
 	lw_stream_move(s, l, id);
@@ -143,7 +149,10 @@
 	return s->link->peer_incarnation && s->link->peer_incarnation == w->incarnation;
 }
 
-/* what became of one request, as told over @l; false if nobody waits for that word */
+/*
+ * applies the outcome of one request, received over @l; returns false if no request waits
+ * for it
+ */
 static bool apply_fate(lw_link_t *l, const Lw__Fates *w, const Lw__Fate *fate)
 {
 	lw_stream_t *s = lw_stream_by_origin(l->mesh->sent, w->link, fate->stream);
@@ -151,13 +160,16 @@
 	lw_sink_t *sink;
 
 	if (!s) {
-		/* given up before this was heard: the word of that went to a closed connection */
+		/*
+		 * given up before this outcome arrived: the cancellation went to a closed
+		 * connection
+		 */
 		if (fate->kind == LW__FATE_KIND__FATE_MOVED)
 			lw_mesh_send_cancel(l, fate->moved_to);
 		return false;
 	}
 	if (s->query_link != l->name)
-		return false; /* it was asked about again: only the last answer holds */
+		return false; /* queried again: only the latest reply counts */
 	same = same_process(s, w);
 	if (same && fate->kind == LW__FATE_KIND__FATE_MOVED) {
 		resume_stream(s, l, fate->moved_to);
@@ -174,7 +186,7 @@
 	return true;
 }
 
-/* silent connections to @node on which nothing is left */
+/* closes silent connections to @node that have no requests left */
 static void close_empty_silent_links(lw_mesh_t *m, const char *node)
 {
 	lw_link_t *next;
@@ -186,7 +198,7 @@
 	}
 }
 
-/* lw_mesh_on_fates() - the peer tells what became of requests on a lost connection. */
+/* lw_mesh_on_fates() - the peer replied with the outcomes of requests on a lost connection. */
 void lw_mesh_on_fates(lw_link_t *l, const Lw__Fates *w)
 {
 	char node[LW_NAME_MAX];
--- a/src/meshclosed.c
+++ b/src/meshclosed.c
@@ -1,9 +1,9 @@
-/* Connections of other nodes that are over; see meshpast.h. */
+/* Closed connections of other nodes; see meshclosed.h. */
 #include "meshclosed.h"
 
 #include <stddef.h>
 
-/* nobody asks after a request of a connection that was over so long ago, us */
+/* maximum age of a closed connection whose requests may still be queried, us */
 #define QUERY_MAX_AGE_US 60000000
 
 static lw_closed_link_t *find(const lw_meshclosed_t *p, uint64_t name)
@@ -17,8 +17,8 @@
 }
 
 /*
- * lw_meshpast_note() - connection @name will bring nothing more; it brought the
- * requests with ids below @opened. @now_us: steady clock.
+ * lw_meshclosed_add() - records that connection @name delivers nothing more. All stream ids
+ * received on it are below @opened. @now_us: monotonic time.
  */
 void lw_meshclosed_add(lw_meshclosed_t *p, uint64_t name, uint32_t opened, uint64_t now_us)
 {
@@ -34,16 +34,16 @@
 	*at = (lw_closed_link_t){ .name = name, .closed_us = now_us, .opened = opened };
 }
 
-/* lw_meshpast_has() - whether connection @name may bring nothing more. */
+/* lw_meshclosed_has() - returns true if requests on connection @name are no longer accepted. */
 bool lw_meshclosed_has(const lw_meshclosed_t *p, uint64_t name)
 {
 	return name && find(p, name);
 }
 
 /*
- * lw_meshpast_never() - whether request @id of connection @name, which is not open
- * now, never reached this process. One of a connection that may have been
- * forgotten may have run.
+ * lw_meshclosed_never_received() - returns true if request @id of connection @name, which
+ * is not open now, never reached this process. A request of a connection that may have been
+ * evicted may have been executed.
  */
 bool lw_meshclosed_never_received(const lw_meshclosed_t *p, uint64_t name, uint32_t id,
 				  uint64_t now_us)
--- a/src/meshdocs.c
+++ b/src/meshdocs.c
@@ -1,7 +1,7 @@
 /*
- * Documents from node to node. A node that hears of a newer version asks for it,
- * piece by piece, at one node at a time; so each node receives a document once, and
- * sends no more of it than others ask for.
+ * Transfer of documents between nodes. A node that learns of a newer version fetches it in
+ * chunks from one node at a time, so that each node receives a document once and sends only
+ * what others request.
  */
 #include "mesh_int.h"
 
@@ -9,7 +9,7 @@
 
 #include "log.h"
 
-/* the version of a document that the peer has, as far as told */
+/* the version of a document that the peer has, as far as known */
 static uint64_t peer_version_of(const lw_link_t *l, Lw__DocumentKind kind)
 {
 	return kind == LW__DOCUMENT_KIND__DOCUMENT_CONFIG ? l->peer_version : l->peer_revision;
@@ -45,7 +45,10 @@
 	       peer_version_of(l, kind) > l->mesh->fetch[kind].rejected_version;
 }
 
-/* lw_mesh_fetch_from() - fetch what the peer has in a newer version, unless a fetch is under way. */
+/*
+ * lw_mesh_fetch_from() - fetches the documents that the peer has in a newer version, unless
+ * a transfer is active.
+ */
 void lw_mesh_fetch_from(lw_link_t *l)
 {
 	lw_mesh_t *m = l->mesh;
@@ -56,8 +59,9 @@
 }
 
 /*
- * lw_mesh_fetch_any() - the same from any node, another one than last if there
- * is: no news came from those that pass it on to this node, or their word was lost.
+ * lw_mesh_fetch_any() - fetches newer documents from any node, if possible not from the
+ * previous source. Covers the case that the nodes which notify this one have no news
+ * themselves, or that their notification was lost.
  */
 void lw_mesh_fetch_any(lw_mesh_t *m)
 {
@@ -75,7 +79,7 @@
 	}
 }
 
-/* lw_mesh_source_lost() - the connection is over, and with it the fetches from it. */
+/* lw_mesh_source_lost() - aborts the transfers from a closed connection. */
 void lw_mesh_source_lost(lw_link_t *l)
 {
 	for (int kind = 0; kind < LW_MESH_DOCUMENTS; kind++)
@@ -87,7 +91,7 @@
 	return (int)kind >= 0 && (int)kind < LW_MESH_DOCUMENTS;
 }
 
-/* lw_mesh_on_fetch() - a peer asks for a piece of a document. */
+/* lw_mesh_on_fetch() - a peer requests a chunk of a document. */
 void lw_mesh_on_fetch(lw_link_t *l, const Lw__Fetch *w)
 {
 	lw_mesh_t *m = l->mesh;
@@ -102,7 +106,7 @@
 	lw_link_frame_queued(l, before, LW__MESH_FRAME__BODY_PIECE);
 }
 
-/* a document is complete */
+/* processes a completely received document */
 static void apply_document(lw_mesh_t *m, Lw__DocumentKind kind, uint64_t version, lw_str_t bytes)
 {
 	lw_serverlist_t *sl;
@@ -115,7 +119,7 @@
 		m->ops->servers_received(m->ctx, sl);
 }
 
-/* lw_mesh_on_piece() - a piece of a document came. */
+/* lw_mesh_on_piece() - a chunk of a document arrived. */
 void lw_mesh_on_piece(lw_link_t *l, const Lw__Piece *w)
 {
 	lw_mesh_t *m = l->mesh;
@@ -133,7 +137,7 @@
 	case LW_DOCFETCH_DONE:
 		apply_document(m, w->kind, piece.of.version, (lw_str_t){ bytes, piece.of.length });
 		free(bytes);
-		/* as a newer version may accept what this one does not understand */
+		/* a node of a newer version may accept a document that this one cannot parse */
 		if (own_version_of(m, w->kind) < piece.of.version)
 			m->fetch[w->kind].rejected_version = piece.of.version;
 		lw_mesh_apply_store_read(l);
--- a/src/meshframe.h
+++ b/src/meshframe.h
@@ -15,10 +15,10 @@
 #include "fleetconf.h"
 #include "mesh.pb-c.h"
 
-/* Levels that are passed on with one frame. */
+/* Maximum number of admission thresholds forwarded in one frame. */
 #define LW_MESHFRAME_LEVELS_MAX 6
 
-/* The load part of a frame with the storage for its parts. */
+/* The load part of a frame, with the storage for its parts. */
 typedef struct lw_meshframe_load {
 	Lw__Load load;
 	Lw__Hot hot[LW_HOTS_MAX];
--- a/src/meshoutcomes.c
+++ b/src/meshoutcomes.c
@@ -1,4 +1,4 @@
-/* Outcomes kept for a moment after they were sent; see meshkept.h. */
+/* Outcomes retained after they were sent; see meshoutcomes.h. */
 #include "meshoutcomes.h"
 
 #include <stdlib.h>
@@ -7,13 +7,13 @@
 #include "xalloc.h"
 
 /*
- * An outcome is kept for so long: a silent connection is noticed after half a
- * second, and its sender asks again while this host stands still, us.
+ * How long an outcome is retained, in us: a silent connection is detected after 500 ms, and
+ * its sender repeats the query while this host is suspended.
  */
 #define RETENTION_US 3000000
-/* what all of them may hold; beyond it the oldest go, in bytes */
+/* limit for all retained outcomes, in bytes; beyond it the oldest are dropped */
 #define TOTAL_MAX_BYTES (1024 * 1024)
-/* a longer answer is not kept, in bytes */
+/* longer responses are not retained, in bytes */
 #define ANSWER_MAX_BYTES 16384
 
 static size_t size_of(const lw_retained_outcome_t *o)
@@ -50,7 +50,7 @@
 		drop_oldest(k);
 }
 
-/* lw_meshkept_answer() - the request was answered with @a and the whole @body. */
+/* lw_meshoutcomes_add_answer() - retains the response @a with its complete @body. */
 void lw_meshoutcomes_add_answer(lw_meshoutcomes_t *k, const lw_stream_origin_t *origin,
 				const lw_answer_t *a, lw_str_t body, uint64_t now_us)
 {
@@ -71,7 +71,10 @@
 	add(k, o, now_us);
 }
 
-/* lw_meshkept_failure() - the request ended without an answer, and @why. */
+/*
+ * lw_meshoutcomes_add_failure() - retains that the request ended without a response because
+ * of @why.
+ */
 void lw_meshoutcomes_add_failure(lw_meshoutcomes_t *k, const lw_stream_origin_t *origin,
 				 lw_fail_t why, uint32_t retry_after_ms, uint64_t now_us)
 {
@@ -86,7 +89,10 @@
 	add(k, o, now_us);
 }
 
-/* lw_meshkept_find() - the outcome of the request sent over @link as @id; NULL: it is not kept. */
+/*
+ * lw_meshoutcomes_find() - returns the outcome of the request sent over @link as @id; NULL
+ * if it is not retained.
+ */
 const lw_retained_outcome_t *lw_meshoutcomes_find(const lw_meshoutcomes_t *k, uint64_t link,
 						  uint32_t id)
 {
--- a/src/meshoutcomes.h
+++ b/src/meshoutcomes.h
@@ -1,7 +1,7 @@
 /*
- * Outcomes of requests of other nodes, kept for a moment after they were sent. A
- * connection can go silent with an answer on it, which its sender and the host
- * both cannot see; asked after the request, the host sends the outcome once more.
+ * Outcomes of requests of other nodes, retained for a short time after they were sent. A
+ * connection can go silent with a response on it, which neither sender nor executing node
+ * can see. When the sender queries the request, the node sends the retained outcome again.
  */
 #ifndef LW_MESHOUTCOMES_H
 #define LW_MESHOUTCOMES_H
@@ -13,25 +13,25 @@
 #include "call.h"
 
 /*
- * Names a request for both sides, wherever it moves: the connection it was sent
- * over and its id there.
+ * Identifies a request on both nodes even after it moved to another connection: the
+ * connection it was first sent over, and its stream id there.
  */
 typedef struct lw_stream_origin {
 	uint64_t link;
 	uint64_t id;
 } lw_stream_origin_t;
 
-/* One outcome: an answer, or why there is none. */
+/* One outcome: a response, or the reason why there is none. */
 typedef struct lw_retained_outcome {
 	lw_stream_origin_t origin;
 	uint64_t added_us;
-	lw_fail_t why; /* LW_FAIL_NONE: it was answered */
+	lw_fail_t why; /* LW_FAIL_NONE: the request was answered */
 	uint32_t retry_after_ms;
 	lw_answer_t answer;
 	lw_str_t body;
 	struct lw_retained_outcome *newer;
 	UT_hash_handle hh;
-	char bytes[]; /* head and body of the answer */
+	char bytes[]; /* head and body of the response */
 } lw_retained_outcome_t;
 
 typedef struct lw_meshoutcomes {
--- a/src/meshquota.c
+++ b/src/meshquota.c
@@ -1,12 +1,12 @@
-/* Reports to the keepers of limits, and their answers. */
+/* Usage reports to the quota coordinators, and their replies. */
 #include "mesh_int.h"
 
-/* entries that one frame may name: a frame may say anything */
+/* limit for entries in one frame, whose count may be arbitrary */
 #define ENTRIES_MAX 4096
-/* demand is told in thousandths of a request a second, up to this */
+/* maximum demand in requests a second; sent in thousandths */
 #define DEMAND_MAX (UINT32_MAX / 1000)
 
-/* the parts of the frame that is being sent or taken */
+/* buffers for the frame that is being encoded or processed */
 static lw_quota_use_t uses_in[ENTRIES_MAX];
 static lw_quota_term_t terms_in[ENTRIES_MAX];
 static lw_quota_term_t terms_out[ENTRIES_MAX];
@@ -26,8 +26,9 @@
 }
 
 /*
- * lw_mesh_report_quota() - send @uses of this node, whose digest is @node, to the node
- * @keeper; false if there is no connection that it could go over now.
+ * lw_mesh_report_quota() - sends the usage report @uses of this node, whose digest is
+ * @node, to the quota coordinator at @coordinator. Returns false if there is no usable
+ * connection.
  */
 bool lw_mesh_report_quota(lw_mesh_t *m, const char *coordinator, uint64_t node, uint32_t number,
 			  const lw_quota_use_t *uses, size_t n)
@@ -75,7 +76,10 @@
 	lw_link_send(l, &f);
 }
 
-/* lw_mesh_on_quota_report() - a node takes this one for a keeper of limits. */
+/*
+ * lw_mesh_on_quota_report() - another node reports its usage to this node as quota
+ * coordinator.
+ */
 void lw_mesh_on_quota_report(lw_link_t *l, const Lw__QuotaReport *w)
 {
 	lw_mesh_t *m = l->mesh;
@@ -88,7 +92,7 @@
 	send_terms(l, w->number, terms_out, n);
 }
 
-/* lw_mesh_on_quota_terms() - a keeper answers. */
+/* lw_mesh_on_quota_terms() - a quota coordinator replied to a usage report. */
 void lw_mesh_on_quota_terms(lw_link_t *l, const Lw__QuotaTerms *w)
 {
 	lw_mesh_t *m = l->mesh;
--- a/src/meshrecover.c
+++ b/src/meshrecover.c
@@ -1,7 +1,7 @@
 /*
- * Connections between nodes that were lost with requests on them, and what this
- * node tells the others of requests they sent over such a connection; meshask.c
- * is the side that asks.
+ * Handles connections that were lost with requests in flight, and answers outcome queries
+ * of nodes that sent requests over such a connection. meshask.c implements the querying
+ * side.
  */
 #include "mesh_int.h"
 
@@ -12,22 +12,23 @@
 #include "xalloc.h"
 
 /*
- * A request whose connection was lost runs on for so long, in case its sender
- * asks. Shorter than the half second in which the work of a caller that left
- * must have stopped, us.
+ * How long a request keeps running after its connection was lost, in case its sender
+ * queries its outcome, in us. Must be below the 500 ms within which work for a caller that
+ * has left must stop.
  */
 #define ORPHAN_GRACE_US 300000
 
 /*
- * lw_stream_unsent() - whether none of its bytes left this host. A stream that moved here counts its bytes on
- * its first connection: compared with this one's, a request that runs looked unsent.
+ * lw_stream_unsent() - returns true if no byte of the request has left this host. The
+ * position of a moved stream refers to its first connection; compared with its current
+ * connection, a running request would look unsent. So the received flag is checked first.
  */
 bool lw_stream_unsent(const lw_stream_t *s)
 {
 	return !s->received && s->open_at >= s->link->written_total;
 }
 
-/* lw_link_drop_streams() - every request on a closed connection has its outcome now. */
+/* lw_link_drop_streams() - ends every request on a closed connection and reports its outcome. */
 void lw_link_drop_streams(lw_link_t *l)
 {
 	uint32_t nunsent = 0, nmoved = 0, n = HASH_COUNT(l->streams);
@@ -59,8 +60,8 @@
 }
 
 /*
- * lw_link_drop_unsent() - the peer is about to exit, as it says: what it has not
- * been sent goes elsewhere instead of meeting the exit.
+ * lw_link_drop_unsent() - fails the requests that were not written yet as unsent, because
+ * the peer has announced that it is about to exit. They are then sent to other nodes.
  */
 void lw_link_drop_unsent(lw_link_t *l)
 {
@@ -78,7 +79,10 @@
 	}
 }
 
-/* lw_link_may_wait() - whether the streams of a lost connection may have another fate. */
+/*
+ * lw_link_can_recover() - returns true if the requests on a lost connection may still
+ * continue or be answered.
+ */
 bool lw_link_can_recover(const lw_link_t *l)
 {
 	return l->outgoing ? l->peer_incarnation != 0 : l->name != 0;
@@ -94,7 +98,7 @@
 		*at = l->next;
 }
 
-/* lw_link_orphan() - keep the streams of a lost connection for a moment. */
+/* lw_link_orphan() - keeps the requests of a lost connection for a short time. */
 void lw_link_orphan(lw_link_t *l)
 {
 	lw_mesh_t *m = l->mesh;
@@ -115,10 +119,11 @@
 }
 
 /*
- * lw_mesh_peer_gone() - nobody listens at @node: its process is gone, and nothing
- * more will be heard of what it ran. A lost connection alone does not say so: an
- * older silent one, closed as nobody waited on it any more, ended the wait for
- * answers that were on their way (502 for orders at work).
+ * lw_mesh_peer_gone() - fails the requests that wait on lost connections to @node, as no
+ * process listens there: it has exited and will not answer. A lost connection alone does
+ * not prove this. When an older, silent connection was closed because no request was left
+ * on it, ending the wait would drop responses that are on their way (502 for requests that
+ * are being executed).
  */
 void lw_mesh_peer_gone(lw_mesh_t *m, const char *node)
 {
@@ -131,7 +136,7 @@
 	}
 }
 
-/* the connection that another node opened and named @name; NULL: it is not known */
+/* returns the connection that another node opened under the id @name; NULL if unknown */
 static lw_link_t *link_by_name(const lw_mesh_t *m, uint64_t name)
 {
 	lw_link_t *l;
@@ -145,16 +150,19 @@
 	return NULL;
 }
 
-/* whether the request can go on over another connection: nothing of it was lost on the way */
+/*
+ * returns true if the request can continue on another connection: no part of it was lost in
+ * transit
+ */
 static bool can_move(const lw_stream_t *s)
 {
 	return s->job && s->request_whole && !s->answering;
 }
 
 /*
- * Whether request @id of the connection asked about, @old if it is still open, never
- * came. A node of an older version names one that moved by its place there: that
- * one did come, and must not be placed elsewhere.
+ * Returns true if request @id of connection @link never arrived. @old is that connection if
+ * it is still known. A node of an older version identifies a moved stream by its id after
+ * the move; such a stream did arrive and must not be sent elsewhere.
  */
 static bool never_came(const lw_mesh_t *m, uint64_t link, const lw_link_t *old, uint32_t id)
 {
@@ -165,7 +173,10 @@
 	return lw_meshclosed_never_received(&m->closed_links, link, id, m->evloop->now_us);
 }
 
-/* what became of request @id of the connection asked about, @old if it is still open */
+/*
+ * determines the outcome of request @id of the queried connection; @old is that connection
+ * if it is still known
+ */
 static void determine_fate(lw_link_t *to, const Lw__FateQuery *q, const lw_link_t *old, uint32_t id,
 			   Lw__Fate *fate)
 {
@@ -185,7 +196,7 @@
 		return;
 	}
 	if (q->number && q->number < s->query_number)
-		return; /* asked again meanwhile: whoever asked waits for that answer */
+		return; /* a newer query was received: the sender waits for that reply */
 	s->query_number = q->number;
 	if (!can_move(s))
 		return;
@@ -196,7 +207,7 @@
 	fate->moved_to = s->id;
 }
 
-/* lw_mesh_count_fates() - how many requests @w tells @kind of. */
+/* lw_mesh_count_fates() - returns how many outcomes in @w are of @kind. */
 uint32_t lw_mesh_count_fates(const Lw__Fates *w, Lw__FateKind kind)
 {
 	uint32_t n = 0;
@@ -218,7 +229,10 @@
 	       (unsigned long long)w->incarnation);
 }
 
-/* the outcomes of those that are over: their answers may have been lost with the connection */
+/*
+ * sends the retained outcomes of finished requests: their responses may have been lost with
+ * the connection
+ */
 static void send_outcomes(lw_link_t *l, const Lw__Fates *w)
 {
 	for (size_t i = 0; i < w->n_fates; i++) {
@@ -256,10 +270,10 @@
 }
 
 /*
- * What was sent over the connection asked about and has not moved by this
- * question: its sender gave it up, or was told that it may have run. What a newer
- * question moved stays. A node of an older version does not number its questions
- * and names only what is still on the connection.
+ * Cancels the requests of the queried connection that this query did not move: the sender
+ * has given them up or was told that they may have been executed. Requests moved by a newer
+ * query stay. A node of an older version does not number its queries and names only what is
+ * still on the connection.
  */
 static void cancel_unnamed(lw_mesh_t *m, const Lw__FateQuery *q, const lw_link_t *old)
 {
@@ -270,7 +284,7 @@
 		if (s->origin.link == q->link && s->named_by != m->queries_handled &&
 		    (q->number ? s->query_number <= q->number : s->link == old))
 			ended[n++] = s;
-	/* an end may bring others about */
+	/* cancelling one request may end others */
 	for (size_t i = 0; i < n; i++) {
 		lw_call_t *job = ended[i]->job;
 
@@ -284,8 +298,8 @@
 }
 
 /*
- * lw_mesh_on_query() - a peer asks what became of requests it sent over another
- * connection. That one will bring nothing more.
+ * lw_mesh_on_query() - a peer queries the outcomes of requests that it sent over another
+ * connection. Nothing more is accepted from that connection.
  */
 void lw_mesh_on_query(lw_link_t *l, const Lw__FateQuery *q)
 {
@@ -305,8 +319,8 @@
 }
 
 /*
- * lw_mesh_check_orphans() - lost connections: what others sent over them ends if
- * nobody asks after it in time, what this node sent is asked after.
+ * lw_mesh_check_orphans() - ends requests of other nodes on lost connections if their
+ * sender does not query them in time, and retries the outcome queries of this node.
  */
 void lw_mesh_check_orphans(lw_mesh_t *m)
 {
--- a/src/meshstatus.c
+++ b/src/meshstatus.c
@@ -1,16 +1,19 @@
 /*
- * What nodes tell each other beside requests: loads, the configuration, the list
- * of backend servers, and how old their news from the store is.
+ * State that nodes exchange besides requests: load, the configuration, the list of backend
+ * servers, and the age of the last known read of the store.
  */
 #include "mesh_int.h"
 #include "storepos.h"
 
-/* a peer is given so long to learn a new configuration by itself, us */
+/* time that a peer has to get a new configuration by itself, us */
 #define CONFIG_PUSH_DELAY_US 600000
-/* levels are passed on over one connection so often at most, us */
+/* minimum interval between admission thresholds sent over one connection, us */
 #define LEVELS_INTERVAL_US 20000
 
-/* lw_mesh_fill_load() - the load part of a frame; @out must stay until it is encoded. */
+/*
+ * lw_mesh_fill_load() - fills the load part of a frame; @out must stay valid until the
+ * frame is encoded.
+ */
 void lw_mesh_fill_load(lw_link_t *l, lw_meshframe_load_t *out, const lw_load_t *load)
 {
 	lw_mesh_t *m = l->mesh;
@@ -24,7 +27,7 @@
 				m->ops->known_levels(m->ctx, out->heard, LW_MESHFRAME_LEVELS_MAX));
 }
 
-/* lw_mesh_take_levels() - the levels that came with the load part of a frame. */
+/* lw_mesh_read_levels() - processes the admission thresholds in the load part of a frame. */
 void lw_mesh_read_levels(lw_link_t *l, const Lw__Load *load)
 {
 	for (size_t i = 0; load && i < load->n_heard; i++) {
@@ -45,7 +48,10 @@
 	return lw_revdoc_version(servers_document(m));
 }
 
-/* lw_mesh_send_status() - tell the peer this node's state; @is_reply: it need not answer. */
+/*
+ * lw_mesh_send_status() - sends this node's state to the peer; @is_reply: the peer need not
+ * reply.
+ */
 void lw_mesh_send_status(lw_link_t *l, bool is_reply)
 {
 	lw_load_t own;
@@ -70,7 +76,7 @@
 	lw_link_send(l, &f);
 }
 
-/* the configuration, to a node of an older version that is not known to have it */
+/* sends the configuration to a node of an older version that is not known to have it */
 static void send_config(lw_link_t *l, uint64_t version)
 {
 	lw_mesh_t *m = l->mesh;
@@ -92,7 +98,7 @@
 	lw_link_send(l, &f);
 }
 
-/* a list of backend servers that a peer of an older version does not have yet */
+/* sends the list of backend servers to a peer of an older version that does not have it */
 static void push_servers(lw_link_t *l)
 {
 	const lw_serverlist_t *sl = l->mesh->ops->servers(l->mesh->ctx);
@@ -107,9 +113,10 @@
 }
 
 /*
- * lw_mesh_settle_news() - news counts only from a node that has nothing newer than
- * this one: else this node would think itself up to date while it fetches. Nor does
- * it from one that is an era behind: what it read says nothing of the store now.
+ * lw_mesh_apply_store_read() - uses the peer's time of the last store read only if the peer
+ * has no newer document than this node; otherwise this node would consider itself up to
+ * date while it still fetches. A peer with an older store era is ignored, too: what it read
+ * says nothing about the store now.
  */
 void lw_mesh_apply_store_read(lw_link_t *l)
 {
@@ -121,7 +128,7 @@
 		m->ops->store_read(m->ctx, l->node, l->peer_store_read_us);
 }
 
-/* what a peer's status says of the store and of the documents it has */
+/* processes the store age and document versions in a peer's status */
 static void apply_peer_documents(lw_link_t *l, const Lw__Status *w)
 {
 	lw_mesh_t *m = l->mesh;
@@ -136,14 +143,14 @@
 	}
 	lw_mesh_fetch_from(l);
 	push_servers(l);
-	/* the answer makes a peer that is behind fetch, and one of an older version send */
+	/* the reply makes a peer that is behind fetch, and a peer of an older version send */
 	if (w->is_reply &&
 	    (w->servers_revision < own || (!w->fetches && w->servers_revision > own)))
 		lw_mesh_send_status(l, true);
 	lw_mesh_apply_store_read(l);
 }
 
-/* lw_mesh_on_status() - a peer told its state. */
+/* lw_mesh_on_status() - the peer sent its state. */
 void lw_mesh_on_status(lw_link_t *l, const Lw__Status *w)
 {
 	lw_load_t load;
@@ -176,8 +183,8 @@
 }
 
 /*
- * lw_mesh_vouch() - from now on tell with every status that @server lives
- * although its entry lapsed; empty: no more.
+ * lw_mesh_set_lapsed_server() - from now on every status asserts that @server is alive
+ * although its lease expired; empty to stop.
  */
 void lw_mesh_set_lapsed_server(lw_mesh_t *m, const char *server, uint64_t born_ms)
 {
@@ -186,9 +193,10 @@
 }
 
 /*
- * lw_mesh_announce() - tell this node's state now to those that may send it
- * requests. They do so over connections of their own; what is told over one that
- * this node opened says nothing of its server to the other side.
+ * lw_mesh_broadcast_status() - sends this node's state at once to the nodes that may send
+ * it requests. These use connections that they opened themselves; a status sent over a
+ * connection that this node opened tells the other side nothing about the local backend
+ * server.
  */
 void lw_mesh_broadcast_status(lw_mesh_t *m)
 {
@@ -198,8 +206,9 @@
 }
 
 /*
- * lw_mesh_tell() - tell @node this node's state: it asks for what it does not have
- * yet. One that is only being connected to is told with the first words.
+ * lw_mesh_send_state() - sends this node's state to @node, which then fetches the documents
+ * that it lacks. A node whose connection is still being set up gets the state with the
+ * first frame.
  */
 void lw_mesh_send_state(lw_mesh_t *m, const char *node)
 {
@@ -212,13 +221,16 @@
 	lw_mesh_send_status(l, true);
 }
 
-/* lw_link_may_be_asked() - whether the process at the other end is there and heard. */
+/* lw_link_usable() - returns true if the peer process has sent its status and is not silent. */
 bool lw_link_usable(const lw_link_t *l)
 {
 	return l->peer_incarnation && !l->silent && !l->closed;
 }
 
-/* lw_mesh_each_drawn() - call @fn with the connections to @nodes connected nodes, drawn at random. */
+/*
+ * lw_mesh_each_random() - calls @fn for connections to @nodes connected nodes, chosen at
+ * random.
+ */
 void lw_mesh_each_random(lw_mesh_t *m, uint32_t nodes, lw_link_fn fn, const void *ctx)
 {
 	uint32_t left = 0;
@@ -241,13 +253,16 @@
 	lw_mesh_send_status(l, false);
 }
 
-/* lw_mesh_ask_news() - ask @nodes connected nodes, drawn at random, what they know. */
+/* lw_mesh_request_status() - requests the state of @nodes connected nodes, chosen at random. */
 void lw_mesh_request_status(lw_mesh_t *m, uint32_t nodes)
 {
 	lw_mesh_each_random(m, nodes, request_status, NULL);
 }
 
-/* lw_mesh_push_config() - a node that cannot reach the store gets the configuration from its peers */
+/*
+ * lw_mesh_push_config() - sends the configuration to a peer that may be unable to read the
+ * store.
+ */
 void lw_mesh_push_config(lw_link_t *l, uint64_t version, uint64_t now)
 {
 	if (l->peer_version && now - l->mesh->config_us < CONFIG_PUSH_DELAY_US)
--- a/src/meshsuspects.c
+++ b/src/meshsuspects.c
@@ -1,15 +1,19 @@
 /*
- * Word of requests under which backend servers ended. The node beside a server tells
- * those that send it requests; whoever treats a request otherwise from then on tells
- * a few more, so that it spreads past connections that are not there.
+ * Dissemination of requests during which backend servers crashed. The node of a crashed
+ * server reports them to the nodes that send it requests. A node whose treatment of a
+ * request changes because of a report forwards it to a few more nodes, so that the report
+ * also reaches nodes without a direct connection.
  */
 #include "mesh_int.h"
 
-/* nodes that hear of what is new here, drawn at random */
+/* number of randomly chosen nodes to which a new report is forwarded */
 #define FORWARD_NODES 3
-/* requests that a new connection begins with, and that a frame may name */
+/* maximum number of requests sent on a new connection or read from one frame */
 #define SUSPECTS_MAX 64
-/* more trials than anybody keeps, and the longest hold, ms: a frame may say anything */
+/*
+ * limits for values read from a frame, which may be arbitrary: more trials than any node
+ * counts, and the longest hold in ms
+ */
 #define TRIALS_MAX  100
 #define HELD_MAX_MS 3600000
 
@@ -79,7 +83,10 @@
 	lw_link_send(l, &f);
 }
 
-/* lw_mesh_greet_with_suspects() - the peer may have begun just now and know of none. */
+/*
+ * lw_mesh_send_known_suspects() - sends the known suspect requests to a peer that may just
+ * have started.
+ */
 void lw_mesh_send_known_suspects(lw_link_t *l)
 {
 	const lw_suspect_t *list[SUSPECTS_MAX];
@@ -89,7 +96,10 @@
 		send_suspects(l, list, n);
 }
 
-/* lw_mesh_tell_suspect() - tell all connected nodes what is known of a request. */
+/*
+ * lw_mesh_broadcast_suspect() - sends what is known of a suspect request to all connected
+ * nodes.
+ */
 void lw_mesh_broadcast_suspect(lw_mesh_t *m, const lw_suspect_t *s)
 {
 	for (lw_link_t *l = m->links; l; l = l->next)
@@ -98,9 +108,9 @@
 }
 
 /*
- * lw_mesh_tell_ended() - the backend server here ended as @process with the @n
- * requests @prints in hand. Told over the connections that requests come by, so
- * that it is there before their outcomes.
+ * lw_mesh_report_crash() - reports that @process of the local backend server crashed while
+ * it executed the @n requests @prints. The report goes over the connections by which the
+ * requests came, so that it arrives before their outcomes.
  */
 void lw_mesh_report_crash(lw_mesh_t *m, uint64_t process, const lw_fingerprint_t *prints, size_t n)
 {
@@ -151,7 +161,7 @@
 	}
 }
 
-/* lw_mesh_on_suspects() - a node tells of requests under which servers ended. */
+/* lw_mesh_on_suspects() - another node reports requests during which servers crashed. */
 void lw_mesh_on_suspects(lw_link_t *l, const Lw__Suspects *w)
 {
 	lw_mesh_t *m = l->mesh;
--- a/src/storereader.h
+++ b/src/storereader.h
@@ -1,6 +1,7 @@
 /*
- * Where the configuration and the list of backend servers come from. The
- * adapter of a platform implements it; the request loop takes the snapshots.
+ * Interface to the thread that reads the configuration and the list of backend servers from
+ * the store. The platform adapter implements the thread; the request loop takes the
+ * snapshots from the mailboxes.
  */
 #ifndef LW_STOREREADER_H
 #define LW_STOREREADER_H
@@ -16,50 +17,52 @@
 
 /* Why this node reads the store itself. */
 typedef enum lw_storereader_reason {
-	LW_STOREREADER_START, /* it has read nothing yet */
-	LW_STOREREADER_ELECTED, /* it reads for all */
-	LW_STOREREADER_STALE, /* nothing was heard of those that read for all */
-	LW_STOREREADER_LEASE, /* the entry of its own backend server is missing */
-	LW_STOREREADER_SERVER_REPLACED, /* a server was replaced, and the list does not say so */
+	LW_STOREREADER_START, /* nothing has been read yet */
+	LW_STOREREADER_ELECTED, /* this node is one of the elected readers */
+	LW_STOREREADER_STALE, /* no recent update came from the elected readers */
+	LW_STOREREADER_LEASE, /* the entry of the local backend server is missing */
+	/* a server was replaced and the list does not show it yet */
+	LW_STOREREADER_SERVER_REPLACED,
 	LW_STOREREADER_REASON_COUNT
 } lw_storereader_reason_t;
 
 typedef struct lw_storereader_stats {
-	uint64_t calls[LW_STOREREADER_REASON_COUNT]; /* to the store */
+	uint64_t calls[LW_STOREREADER_REASON_COUNT]; /* calls to the store, by reason */
 	uint64_t failures;
 	uint64_t events;
-	uint64_t resyncs; /* read everything anew */
+	uint64_t resyncs; /* full reads from scratch */
 } lw_storereader_stats_t;
 
 typedef struct lw_storereader {
 	const lw_proxyset_t *set;
 	lw_mailbox_t conf; /* lw_fleetconf_t */
 	lw_mailbox_t servers; /* lw_serverlist_t */
-	lw_mailbox_t
-		in_use; /* the other way: the list that a reader that begins again finds in use */
-	uint32_t enabled; /* the loop wants the store to be read; by lw_feed_want() */
-	uint32_t reason; /* lw_feed_why_t, of the newest wish; atomic */
-	uint32_t deferring; /* other nodes are the first to read again after an outage; atomic */
+	/* reverse direction: the list in use, given to a reader that restarts */
+	lw_mailbox_t in_use;
+	/* whether the store is to be read; set by lw_storereader_start() and _stop() */
+	uint32_t enabled;
+	uint32_t reason; /* lw_storereader_reason_t of the latest start; atomic */
+	uint32_t deferring; /* other nodes retry first after an outage; atomic */
 	uint64_t read_us; /* boot time of the last successful read; atomic */
-	uint64_t
-		due_us; /* boot time from which the call under way is waited for; 0: none is; atomic */
+	/* boot time at which the answer of the current call is due; 0: no call; atomic */
+	uint64_t due_us;
 	uint64_t failed_us; /* boot time of the last failed call; atomic */
-	uint64_t remote_read_us; /* boot time of another node's last read, as told; atomic */
-	uint64_t remote_resumed_us; /* of their first read after a pause; atomic */
-	bool read_now; /* what was read last is known to be old; under the lock */
+	uint64_t remote_read_us; /* boot time of another node's last known read; atomic */
+	uint64_t remote_resumed_us; /* boot time of their first read after a pause; atomic */
+	bool read_now; /* the last read is known to be outdated; protected by the lock */
 	pthread_mutex_t lock;
 	pthread_cond_t wake;
 	lw_storereader_stats_t stats; /* written by the reader thread only */
 } lw_storereader_t;
 
-/* What the adapter of a platform provides. */
+/* Functions that a platform adapter provides. */
 typedef struct lw_platform {
 	const lw_wirenames_t *names;
-	/* path of the settings file; NULL if the platform does not tell */
+	/* path of the settings file; NULL if the platform does not define one */
 	const char *(*settings_path)(void);
-	/* starts a thread that fills the mailboxes; it runs until the process ends */
+	/* starts a thread that fills the mailboxes until the process ends */
 	lw_status_t (*start_store_reader)(lw_storereader_t *feed);
-	/* reads a configuration document; LW_ERR_CONFIG with the reason */
+	/* parses a configuration document; LW_ERR_CONFIG with the reason on failure */
 	lw_status_t (*parse_config)(const char *text, size_t len, lw_fleetconf_t **out);
 } lw_platform_t;
 
