--- a/src/mesh.c
+++ b/src/mesh.c
@@ -5,21 +5,21 @@
 #include "log.h"
 #include "xalloc.h"
 
-/* nothing heard for so long while answers are due: ask, us */
+/* request the peer's status if nothing was received for this time while responses are due, us */
 #define SILENT_PROBE_US 200000
-/* no reply to that for so long: use another connection, us */
+/* use another connection if that request has no reply after this time, us */
 #define SILENT_LOST_US 300000
-/* connections with requests under way are looked at so often, in seconds */
+/* check interval of connections with requests in flight, in seconds */
 #define WATCH_INTERVAL_S 0.1
-/* an idle connection is tested so often: a middlebox may have dropped it, us */
+/* probe interval of idle connections, which a middlebox may have dropped, us */
 #define IDLE_PROBE_US 2000000
 /*
- * A connection on which the peer has not spoken after this has failed. What is
- * held for it meanwhile keeps the deadline it had when it was given, us.
+ * A connection on which the peer has not sent its first frame after this time has failed,
+ * in us. Requests that wait for it keep their original deadline.
  */
 #define HANDSHAKE_TIMEOUT_US 400000
 
-/* lw_mesh_on_frame() - act on one frame. */
+/* lw_mesh_on_frame() - processes one frame. */
 void lw_mesh_on_frame(lw_link_t *l, const Lw__MeshFrame *f)
 {
 	lw_mesh_t *m = l->mesh;
@@ -75,17 +75,20 @@
 		lw_mesh_on_quota_terms(l, f->quota_terms);
 		break;
 	default:
-		break; /* a newer node's frame */
+		break; /* unknown frame kind of a newer version */
 	}
 }
 
-/* lw_mesh_contact() - connect to @node if there is no connection yet. */
+/* lw_mesh_connect() - connects to @node if there is no connection yet. */
 void lw_mesh_connect(lw_mesh_t *m, const char *node)
 {
 	lw_link_to(m, node);
 }
 
-/* lw_mesh_control_name() - the kind of frame in metrics; NULL if it carries a request or answer. */
+/*
+ * lw_mesh_control_name() - returns the frame kind's name in metrics; NULL for frames of
+ * requests and responses.
+ */
 const char *lw_mesh_control_name(size_t kind)
 {
 	static const char *const names[LW_MESH_FRAME_KINDS] = {
@@ -104,7 +107,10 @@
 	return kind < LW_MESH_FRAME_KINDS ? names[kind] : NULL;
 }
 
-/* lw_mesh_control_bytes() - bytes queued for other nodes that are no requests or answers. */
+/*
+ * lw_mesh_control_bytes() - returns the bytes queued for other nodes apart from requests
+ * and responses.
+ */
 uint64_t lw_mesh_control_bytes(const lw_mesh_stats_t *s)
 {
 	uint64_t sum = 0;
@@ -115,16 +121,16 @@
 	return sum;
 }
 
-/* lw_mesh_stats() - counts since the start. */
+/* lw_mesh_stats() - returns the counters since the start. */
 const lw_mesh_stats_t *lw_mesh_stats(const lw_mesh_t *m)
 {
 	return &m->stats;
 }
 
 /*
- * Nothing comes over a connection although answers are due: its other end may
- * be suspended, or something between has lost track of it. New requests take
- * another connection; what became of those under way is asked there.
+ * Marks a connection as silent: no data arrives although responses are due. The peer may be
+ * suspended, or a device between the hosts has lost track of the connection. New requests
+ * use another connection, over which the outcomes of those in flight are queried.
  */
 static void mark_silent(lw_link_t *l)
 {
@@ -167,7 +173,7 @@
 	}
 }
 
-/* closer looks while requests are under way */
+/* more frequent checks while requests are in flight */
 static void on_watch(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_mesh_t *m = w->data;
@@ -206,7 +212,7 @@
 	lw_mesh_fetch_any(m);
 }
 
-/* the host was suspended: what lies in the buffers is old by that time */
+/* after a suspend of this host: the data in the buffers is older by that time */
 static void adjust_for_suspension(lw_mesh_t *m)
 {
 	for (lw_link_t *l = m->links; l; l = l->next) {
@@ -214,7 +220,10 @@
 		l->last_recv_us = m->evloop->now_us;
 		l->status_request_us = 0;
 	}
-	/* nobody could ask meanwhile: ended now, work would be lost with the question at hand */
+	/*
+	 * no query could be processed meanwhile: ending the requests now would lose work
+	 * although a query may be in the buffer
+	 */
 	for (lw_link_t *l = m->orphans; l; l = l->next)
 		l->orphan_us += m->evloop->suspended_us;
 }
@@ -244,7 +253,7 @@
 	}
 }
 
-/* lw_mesh_listen() - accept connections of other nodes at "ip:port". */
+/* lw_mesh_listen() - accepts connections of other nodes at "ip:port". */
 lw_status_t lw_mesh_listen(lw_mesh_t *m, const char *addr)
 {
 	lw_status_t st = lw_sock_listen(addr, &m->listen_fd);
@@ -258,7 +267,7 @@
 	return LW_OK;
 }
 
-/* lw_mesh_new() - no connections yet; requests of other nodes go to @gate. */
+/* lw_mesh_new() - creates the mesh without connections; requests of other nodes go to @gate. */
 lw_mesh_t *lw_mesh_new(lw_evloop_t *evloop, lw_gate_t *gate, const lw_mesh_ops_t *ops, void *ctx)
 {
 	static ev_check wake;
--- a/src/meshcall.c
+++ b/src/meshcall.c
@@ -1,6 +1,6 @@
 /*
- * Requests as streams of frames, on the side that sends them and on the side that
- * runs them.
+ * Requests as streams of frames, both on the node that sends them and on the node that
+ * executes them.
  */
 #include "mesh_int.h"
 
@@ -8,7 +8,7 @@
 
 #include "xalloc.h"
 
-/* the table of @s by origin: what this node sent, or what it took from others */
+/* the by-origin table of @s: requests sent by this node or received from others */
 static lw_stream_t **table_of(const lw_stream_t *s)
 {
 	lw_mesh_t *m = s->link->mesh;
@@ -16,7 +16,10 @@
 	return s->call.sink ? &m->sent : &m->incoming;
 }
 
-/* lw_stream_by_origin() - the request in @table that was sent over @link as @id; NULL: there is none. */
+/*
+ * lw_stream_by_origin() - returns the request in @table that was sent over @link as @id;
+ * NULL if there is none.
+ */
 lw_stream_t *lw_stream_by_origin(lw_stream_t *table, uint64_t link, uint32_t id)
 {
 	lw_stream_t key, *s;
@@ -27,7 +30,7 @@
 	return s;
 }
 
-/* lw_stream_add() - a new request is on @l as @id. */
+/* lw_stream_add() - adds a new request to @l as stream @id. */
 void lw_stream_add(lw_stream_t *s, lw_link_t *l, uint32_t id)
 {
 	s->link = l;
@@ -37,7 +40,7 @@
 	HASH_ADD(by_origin, *table_of(s), origin, sizeof(s->origin), s);
 }
 
-/* lw_stream_move() - the request goes on over @to as @id. */
+/* lw_stream_move() - moves the request to connection @to as stream @id. */
 void lw_stream_move(lw_stream_t *s, lw_link_t *to, uint32_t id)
 {
 	HASH_DEL(s->link->streams, s);
@@ -46,7 +49,7 @@
 	HASH_ADD(hh, to->streams, id, sizeof(s->id), s);
 }
 
-/* lw_stream_free() - the stream is over; freed when this turn of the loop ends. */
+/* lw_stream_free() - ends the stream; its memory is freed at the end of this loop iteration. */
 void lw_stream_free(lw_stream_t *s)
 {
 	if (s->dead)
@@ -90,7 +93,7 @@
 	lw_link_send(s->link, &f);
 }
 
-/* the side that sent the request */
+/* the sending side */
 
 static void call_body(lw_call_t *call, lw_str_t data, bool fin)
 {
@@ -108,7 +111,7 @@
 		send_credit(s, bytes);
 }
 
-/* lw_mesh_send_cancel() - nobody waits for the answer of stream @id any more. */
+/* lw_mesh_send_cancel() - tells the peer that the response of stream @id is no longer needed. */
 void lw_mesh_send_cancel(lw_link_t *l, uint32_t id)
 {
 	Lw__Cancel c = LW__CANCEL__INIT;
@@ -136,7 +139,7 @@
 	.cancel = call_cancel,
 };
 
-/* the side that runs the request */
+/* the executing side */
 
 static lw_stream_t *stream_of_sink(lw_sink_t *sink)
 {
@@ -215,7 +218,7 @@
 	lw_link_send(l, &f);
 }
 
-/* the request is over without an answer: its sender is told */
+/* ends the request without a response and reports this to its sender */
 static void end_failed(lw_stream_t *s, lw_fail_t why, uint32_t retry_after_ms,
 		       const lw_load_t *load)
 {
@@ -236,7 +239,7 @@
 		end_failed(s, why, retry_after_ms, load);
 }
 
-/* lw_mesh_send_kept() - the outcome of a request once more, as that of stream @id. */
+/* lw_mesh_send_outcome() - sends the retained outcome of a request again, for stream @id. */
 void lw_mesh_send_outcome(lw_link_t *l, uint32_t id, const lw_retained_outcome_t *o)
 {
 	lw_load_t own;
@@ -250,7 +253,7 @@
 
 static void sink_silent(lw_sink_t *sink)
 {
-	(void)sink; /* the gate runs on this host and is never silent */
+	(void)sink; /* the gate runs in this process and is never silent */
 }
 
 static const lw_sink_ops_t sink_ops = {
@@ -262,9 +265,9 @@
 };
 
 /*
- * lw_mesh_on_open() - a request comes in. One that lay in a buffer while this
- * host was suspended carries the time that was left when it was sent. Without
- * taking off the time asleep it would run long after its caller was answered.
+ * lw_mesh_on_open() - receives a request. A request that lay in a buffer while this host
+ * was suspended carries the time that was left when it was sent. Unless the suspend time is
+ * subtracted, the request would be executed long after its caller was answered.
  */
 void lw_mesh_on_open(lw_link_t *l, const Lw__Open *o)
 {
@@ -307,7 +310,7 @@
 	}
 }
 
-/* lw_mesh_on_answer() - the head of an answer, with the first part of its body. */
+/* lw_mesh_on_answer() - receives the head of a response with the first part of its body. */
 void lw_mesh_on_answer(lw_link_t *l, const Lw__Answer *w)
 {
 	lw_stream_t *s = stream_find(l, w->stream);
@@ -327,7 +330,7 @@
 	sink->ops->answer(sink, &a, lw_meshframe_str(w->body), w->fin, &load);
 }
 
-/* lw_mesh_on_data() - a part of a body, of a request or of an answer. */
+/* lw_mesh_on_data() - receives a part of the body of a request or response. */
 void lw_mesh_on_data(lw_link_t *l, const Lw__Data *d)
 {
 	lw_stream_t *s = stream_find(l, d->stream);
@@ -348,7 +351,7 @@
 		sink->ops->data(sink, data, d->fin);
 }
 
-/* lw_mesh_on_credit() - the other side took a part of a body. */
+/* lw_mesh_on_credit() - the peer consumed a part of a body. */
 void lw_mesh_on_credit(lw_link_t *l, const Lw__Credit *c)
 {
 	lw_stream_t *s = stream_find(l, c->stream);
@@ -361,7 +364,7 @@
 		s->call.sink->ops->credit(s->call.sink, c->bytes);
 }
 
-/* lw_mesh_on_cancel() - the sender gave the request up. */
+/* lw_mesh_on_cancel() - the sender cancelled the request. */
 void lw_mesh_on_cancel(lw_link_t *l, const Lw__Cancel *c)
 {
 	lw_stream_t *s = stream_find(l, c->stream);
@@ -372,7 +375,7 @@
 	lw_stream_free(s);
 }
 
-/* lw_mesh_on_failed() - a request ended without an answer. */
+/* lw_mesh_on_failed() - a request ended without a response. */
 void lw_mesh_on_failed(lw_link_t *l, const Lw__Failed *w)
 {
 	lw_stream_t *s = stream_find(l, w->stream);
@@ -390,8 +393,8 @@
 }
 
 /*
- * lw_mesh_call() - send a request to @node; @sink hears its outcome. NULL if
- * no connection can even be begun.
+ * lw_mesh_call() - sends a request to @node; @sink receives its outcome. Returns NULL if no
+ * connection attempt can be started.
  */
 lw_call_t *lw_mesh_call(lw_mesh_t *m, const char *node, lw_sink_t *sink, const lw_ask_t *ask,
 			lw_str_t body, bool fin)
--- a/src/meshframe.c
+++ b/src/meshframe.c
@@ -9,12 +9,12 @@
 /* a corrupt length must not make a node allocate gigabytes */
 #define FRAME_MAX_BYTES (4u * 1024 * 1024)
 #define LENGTH_BYTES	4
-/* one frame's decoded parts; larger frames fall back to the heap */
+/* size of the arena for one decoded frame; larger frames fall back to the heap */
 #define ARENA_BYTES 98304
 
 /*
- * Decoding allocates each small part of a frame; a bump allocator that is
- * reset for each frame spares a malloc() and free() for each of them.
+ * Decoding allocates each small part of a frame. A bump allocator that is reset for each
+ * frame avoids a malloc() and free() for each part.
  */
 static _Alignas(16) char arena[ARENA_BYTES];
 static size_t arena_used;
@@ -42,7 +42,7 @@
 
 static ProtobufCAllocator allocator = { .alloc = arena_alloc, .free = arena_free };
 
-/* lw_meshframe_append() - encode @f at the end of @out. */
+/* lw_meshframe_append() - encodes @f at the end of @out. */
 void lw_meshframe_append(lw_bytebuf_t *out, const Lw__MeshFrame *f)
 {
 	size_t len = lw__mesh_frame__get_packed_size(f);
@@ -57,9 +57,9 @@
 }
 
 /*
- * lw_meshframe_next() - decode the frame at the start of @data. Returns the
- * bytes it took, 0 if it is not complete yet, -1 if it is not a frame. Call
- * lw_meshframe_done() before the next one.
+ * lw_meshframe_next() - decodes the frame at the start of @data. Returns the number of
+ * bytes used, 0 if the frame is incomplete, -1 if it is invalid. Call lw_meshframe_free()
+ * before decoding the next frame.
  */
 ssize_t lw_meshframe_next(const char *data, size_t len, Lw__MeshFrame **out)
 {
@@ -78,25 +78,28 @@
 	return *out ? (ssize_t)(need + LENGTH_BYTES) : -1;
 }
 
-/* lw_meshframe_done() - release a decoded frame. */
+/* lw_meshframe_free() - releases a decoded frame. */
 void lw_meshframe_free(Lw__MeshFrame *f)
 {
 	lw__mesh_frame__free_unpacked(f, &allocator);
 }
 
-/* lw_meshframe_bytes() - a length-counted string as protobuf-c has it. */
+/* lw_meshframe_bytes() - converts a length-counted string to protobuf-c's type. */
 ProtobufCBinaryData lw_meshframe_bytes(lw_str_t s)
 {
 	return (ProtobufCBinaryData){ s.len, (uint8_t *)(uintptr_t)s.ptr };
 }
 
-/* lw_meshframe_str() - the other way round. */
+/* lw_meshframe_str() - converts protobuf-c's type to a length-counted string. */
 lw_str_t lw_meshframe_str(ProtobufCBinaryData b)
 {
 	return (lw_str_t){ (const char *)b.data, b.len };
 }
 
-/* lw_meshframe_notice() - what a backend server announces, in @out; NULL if it is nothing. */
+/*
+ * lw_meshframe_notice() - encodes a backend server's self-announcement into @out; NULL if
+ * there is none.
+ */
 Lw__Notice *lw_meshframe_notice(Lw__Notice *out, const lw_notice_t *n)
 {
 	if (!n->server)
@@ -110,7 +113,7 @@
 	return out;
 }
 
-/* lw_meshframe_read_notice() - read it; zeroes if the frame has none. */
+/* lw_meshframe_read_notice() - decodes a self-announcement; zeroes if the frame has none. */
 lw_notice_t lw_meshframe_read_notice(const Lw__Notice *in)
 {
 	if (!in)
@@ -119,15 +122,15 @@
 		.server = in->server,
 		.born_ms = in->born_ms,
 		.leaving = in->leaving,
-		/* the comparison is false for what is no number, too */
+		/* the comparison is false for NaN, too */
 		.limited = in->limited && in->limit_per_s >= 0,
 		.limit_per_s = in->limit_per_s >= 0 ? in->limit_per_s : 0,
 	};
 }
 
 /*
- * lw_meshframe_load() - fill the load part of a frame. It points into @load
- * and @out, which must stay until the frame is encoded.
+ * lw_meshframe_load() - fills the load part of a frame. It points into @load and @out,
+ * which must stay valid until the frame is encoded.
  */
 void lw_meshframe_load(lw_meshframe_load_t *out, const lw_load_t *load)
 {
@@ -156,7 +159,7 @@
 	}
 }
 
-/* lw_meshframe_heard() - add the first @n levels in out->heard to the load part. */
+/* lw_meshframe_add_levels() - adds the first @n thresholds in out->heard to the load part. */
 void lw_meshframe_add_levels(lw_meshframe_load_t *out, uint32_t n)
 {
 	out->load.n_heard = n;
@@ -170,7 +173,7 @@
 	}
 }
 
-/* lw_meshframe_read_heard() - one level that a peer passed on. */
+/* lw_meshframe_read_level() - decodes an admission threshold that a peer forwarded. */
 void lw_meshframe_read_level(const Lw__Heard *in, lw_heard_t *out)
 {
 	memset(out, 0, sizeof(*out));
@@ -179,7 +182,7 @@
 	out->age_ms = in->age_ms;
 }
 
-/* lw_meshframe_read_load() - read it; zeroes if the frame has none. */
+/* lw_meshframe_read_load() - decodes the load part; zeroes if the frame has none. */
 void lw_meshframe_read_load(const Lw__Load *in, lw_load_t *out)
 {
 	memset(out, 0, sizeof(*out));
@@ -211,7 +214,7 @@
 	return (char *)(uintptr_t)s;
 }
 
-/* the storage of a list of backend servers while it is encoded */
+/* storage for a list of backend servers while it is encoded */
 typedef struct lw_servers_wire {
 	Lw__Servers servers;
 	Lw__ServerEntry *entry;
@@ -246,7 +249,7 @@
 	free(w->entry);
 }
 
-/* lw_meshframe_append_servers() - encode a list of backend servers as a frame. */
+/* lw_meshframe_append_servers() - encodes a list of backend servers as a frame. */
 void lw_meshframe_append_servers(lw_bytebuf_t *out, const lw_serverlist_t *sl)
 {
 	lw_servers_wire_t w;
@@ -261,8 +264,8 @@
 }
 
 /*
- * lw_meshframe_pack_servers() - encode a list as a document. Its revision is left
- * out: lists with the same servers are the same document.
+ * lw_meshframe_pack_servers() - encodes a list of backend servers as a document. The
+ * revision is left out, so that lists with the same servers are the same document.
  */
 void lw_meshframe_pack_servers(lw_bytebuf_t *out, const lw_serverlist_t *sl)
 {
@@ -276,20 +279,25 @@
 	free_servers(&w);
 }
 
-/* lw_meshframe_unpack_servers() - the list in a document; LW_ERR_PROTO if it is none. */
+/*
+ * lw_meshframe_unpack_servers() - decodes the list of backend servers in a document;
+ * LW_ERR_PROTO if it is invalid.
+ */
 lw_status_t lw_meshframe_unpack_servers(lw_str_t bytes, uint64_t revision, lw_serverlist_t **out)
 {
 	Lw__Servers *w = lw__servers__unpack(NULL, bytes.len, (const uint8_t *)bytes.ptr);
 
 	if (!w)
-		return lw_error(LW_ERR_PROTO, "the document is no list of servers; it is left out");
+		return lw_error(
+			LW_ERR_PROTO,
+			"document does not decode as a list of backend servers; ignoring it");
 	*out = lw_meshframe_read_servers(w);
 	(*out)->revision = revision;
 	lw__servers__free_unpacked(w, NULL);
 	return LW_OK;
 }
 
-/* lw_meshframe_append_fetch() - encode a question for a piece of a document. */
+/* lw_meshframe_append_fetch() - encodes a request for a chunk of a document. */
 void lw_meshframe_append_fetch(lw_bytebuf_t *out, Lw__DocumentKind kind,
 			       const lw_docfetch_request_t *ask)
 {
@@ -305,7 +313,7 @@
 	lw_meshframe_append(out, &f);
 }
 
-/* lw_meshframe_append_piece() - encode a piece of a document. */
+/* lw_meshframe_append_piece() - encodes a chunk of a document. */
 void lw_meshframe_append_piece(lw_bytebuf_t *out, Lw__DocumentKind kind,
 			       const lw_docfetch_piece_t *piece)
 {
@@ -325,13 +333,13 @@
 	lw_meshframe_append(out, &f);
 }
 
-/* lw_meshframe_read_fetch() - what a peer asks for. */
+/* lw_meshframe_read_fetch() - decodes a peer's request for a chunk. */
 lw_docfetch_request_t lw_meshframe_read_fetch(const Lw__Fetch *in)
 {
 	return (lw_docfetch_request_t){ in->version, in->against, in->offset };
 }
 
-/* lw_meshframe_read_piece() - a piece that came; it points into the frame. */
+/* lw_meshframe_read_piece() - decodes a received chunk, which points into the frame. */
 lw_docfetch_piece_t lw_meshframe_read_piece(const Lw__Piece *in)
 {
 	return (lw_docfetch_piece_t){
@@ -345,7 +353,10 @@
 	};
 }
 
-/* lw_meshframe_read_servers() - the list in a frame; the caller owns it. */
+/*
+ * lw_meshframe_read_servers() - decodes the list of backend servers in a frame; the caller
+ * owns it.
+ */
 lw_serverlist_t *lw_meshframe_read_servers(const Lw__Servers *in)
 {
 	lw_serverlist_t *sl = xcalloc(1, sizeof(*sl));
--- a/src/meshlink.c
+++ b/src/meshlink.c
@@ -1,4 +1,4 @@
-/* Connections between nodes as sockets: reading and writing frames. */
+/* Sockets of the connections between nodes: reading and writing frames. */
 #include "mesh_int.h"
 
 #include <errno.h>
@@ -14,18 +14,18 @@
 
 static void link_close(lw_link_t *l);
 
-/* lw_link_greeted() - whether the process at the other end has spoken on this connection. */
+/* lw_link_handshake_done() - returns true if the peer process has sent its first frame. */
 bool lw_link_handshake_done(const lw_link_t *l)
 {
 	return !l->outgoing || l->peer_incarnation;
 }
 
 /*
- * Bytes that may be written now. A kernel takes connections and bytes for a
- * process that is about to exit or stands still; a request among them may have
- * run for all its sender knows, and 16 requests of a day of rolling restarts
- * ended 502 although nobody had read them. So only this side's status goes out
- * before the peer's has come.
+ * Returns the number of bytes that may be written now. A kernel accepts connections and
+ * data for a process that is about to exit or is suspended, and the sender of such a
+ * request must assume that it may have been executed: 16 requests in a day of rolling
+ * restarts ended as 502 although no process had read them. So only this node's status is
+ * written before the peer's status has arrived.
  */
 static size_t writable_bytes(const lw_link_t *l)
 {
@@ -52,7 +52,10 @@
 	ev_io_start(l->mesh->evloop->loop, &l->io);
 }
 
-/* lw_link_frame_queued() - a frame was queued; it is written before the loop waits */
+/*
+ * lw_link_frame_queued() - accounts for a queued frame, which is written at the end of this
+ * loop iteration.
+ */
 void lw_link_frame_queued(lw_link_t *l, size_t before, Lw__MeshFrame__BodyCase kind)
 {
 	size_t len = lw_bytebuf_len(&l->out) - before;
@@ -68,7 +71,7 @@
 	l->mesh->dirty = l;
 }
 
-/* lw_link_send() - queue a frame; it is written before the loop waits. */
+/* lw_link_send() - queues a frame, which is written at the end of this loop iteration. */
 void lw_link_send(lw_link_t *l, const Lw__MeshFrame *f)
 {
 	size_t before = lw_bytebuf_len(&l->out);
@@ -79,7 +82,7 @@
 	lw_link_frame_queued(l, before, f->body_case);
 }
 
-/* lw_link_cut_held() - what was held for the peer's first words is never written. */
+/* lw_link_discard_held() - discards the data that waits for the peer's first frame. */
 void lw_link_discard_held(lw_link_t *l)
 {
 	uint64_t held = l->queued_total - l->handshake_bytes;
@@ -108,8 +111,8 @@
 }
 
 /*
- * lw_mesh_flush_all() - write what was queued in this turn of the loop, one
- * call for each connection.
+ * lw_mesh_flush_all() - writes what was queued in this loop iteration, with one call for
+ * each connection.
  */
 void lw_mesh_flush_all(void *ctx)
 {
@@ -125,7 +128,7 @@
 	}
 }
 
-/* what tells an operator whether the requests on a lost connection had arrived */
+/* logs whether the requests on a lost connection had arrived */
 static void log_lost(const lw_link_t *l)
 {
 	uint32_t unsent = 0;
@@ -142,7 +145,10 @@
 	       (unsigned long long)((l->mesh->evloop->now_us - l->last_recv_us) / 1000));
 }
 
-/* lw_mesh_unwritten() - whether a node that sent requests has not taken all of an answer yet. */
+/*
+ * lw_mesh_has_unwritten_answers() - returns true if part of a response was not yet written
+ * to the node that sent the request.
+ */
 bool lw_mesh_has_unwritten_answers(const lw_mesh_t *m)
 {
 	for (const lw_link_t *l = m->links; l; l = l->next)
@@ -152,9 +158,9 @@
 }
 
 /*
- * lw_mesh_end() - the process exits: write what is queued and close everything.
- * The last lines of the log take 50 ms; connections left open meanwhile draw
- * requests that nobody reads.
+ * lw_mesh_close_all() - writes what is queued and closes all connections, as the process
+ * exits. Writing the last log lines takes 50 ms; connections left open meanwhile would
+ * receive requests that no process reads.
  */
 void lw_mesh_close_all(lw_mesh_t *m)
 {
@@ -172,9 +178,9 @@
 }
 
 /*
- * lw_link_lost() - the connection is gone. Requests on it that reached the peer
- * may still run there: what became of them is asked on another connection, and
- * the peer lets them run on for a moment.
+ * lw_link_lost() - handles the loss of a connection. Requests that reached the peer may
+ * still run there: the peer keeps them for a short time, and this node queries their
+ * outcome over another connection.
  */
 void lw_link_lost(lw_link_t *l)
 {
@@ -217,7 +223,7 @@
 	lw_bytebuf_free(&l->cancelled_ids);
 }
 
-/* lw_link_free() - release a closed connection without streams. */
+/* lw_link_free() - releases a closed connection without streams. */
 void lw_link_free(lw_link_t *l)
 {
 	if (!l->outgoing)
@@ -247,7 +253,7 @@
 	}
 }
 
-/* requests that are given up further on in the buffer */
+/* collects the cancellations in the rest of the input buffer */
 static void find_buffered_cancels(lw_link_t *l)
 {
 	size_t at = 0;
@@ -263,7 +269,10 @@
 	}
 }
 
-/* lw_link_gave_up() - whether the buffer that is acted on now holds a cancellation of stream @id. */
+/*
+ * lw_link_cancel_buffered() - returns true if the buffer that is being processed has a
+ * cancellation of stream @id.
+ */
 bool lw_link_cancel_buffered(const lw_link_t *l, uint32_t id)
 {
 	const char *head = lw_bytebuf_head(&l->cancelled_ids);
@@ -276,10 +285,10 @@
 }
 
 /*
- * Requests that lay in the buffers of a host that stood still: one may be given up
- * further on, or its connection be lost by now, and its caller was answered by
- * another server. So all is read before any is acted on. Answers are taken
- * as they come, whatever became of their connection.
+ * Returns true if requests in the buffers were delayed by a host suspend. A request may be
+ * cancelled later in the buffer, or its connection be lost by now, and its caller was
+ * answered by another server. So all data is read before any request is processed.
+ * Responses are processed as they arrive, whatever the state of their connection.
  */
 static bool requests_delayed(const lw_link_t *l)
 {
@@ -346,7 +355,10 @@
 		link_flush(l);
 }
 
-/* lw_link_new() - a connection over @fd; @outgoing: it was begun here and may not stand yet. */
+/*
+ * lw_link_new() - creates the connection for @fd; @outgoing: it was opened by this node and
+ * may not be established yet.
+ */
 lw_link_t *lw_link_new(lw_mesh_t *m, int fd, bool outgoing)
 {
 	lw_link_t *l = xcalloc(1, sizeof(*l));
@@ -369,7 +381,10 @@
 	return l;
 }
 
-/* lw_link_to() - the connection to @node, begun if there is none; NULL if it cannot be. */
+/*
+ * lw_link_to() - returns the connection to @node, opened if there is none; NULL if it
+ * cannot be opened.
+ */
 lw_link_t *lw_link_to(lw_mesh_t *m, const char *node)
 {
 	lw_link_t *l;
