--- a/src/evloop.c
+++ b/src/evloop.c
@@ -1,4 +1,4 @@
-/* The event loop's shared state; see hub.h. */
+/* Event loop context; see evloop.h. */
 #include "evloop.h"
 
 #include <stdlib.h>
@@ -8,14 +8,14 @@
 #include "xalloc.h"
 
 /*
- * A suspended host notices nothing: its monotonic clock stands still while
- * its callers give up. A difference between boot time and monotonic time
- * above this is a suspension and not the clocks' rounding.
+ * A suspended host does not notice the suspend: its monotonic clock stops while its callers
+ * time out. A difference between boot time and monotonic time above this value, in us, is a
+ * suspend and not a rounding difference of the clocks.
  */
 #define SUSPEND_MIN_US 100000
 /*
- * A process that was stopped by a signal sees both clocks go on. The tick
- * ends every wait, so a turn that comes later than this was held up, us.
+ * A process stopped by a signal sees both clocks advance. The tick limits every wait, so a
+ * loop iteration that starts later than this was delayed, in us.
  */
 #define ITERATION_MAX_US ((uint64_t)(LW_EVLOOP_TICK_S * 1e6) + 300000)
 
@@ -69,7 +69,10 @@
 		h->tick_hooks[i].fn(h->tick_hooks[i].ctx);
 }
 
-/* lw_hub_init() - prepare the loop; @seed starts the random numbers. */
+/*
+ * lw_evloop_init() - initialises the event loop context; @seed seeds the random number
+ * generator.
+ */
 void lw_evloop_init(lw_evloop_t *h, const lw_proxyset_t *set, const lw_wirenames_t *names,
 		    uint64_t seed)
 {
@@ -92,21 +95,24 @@
 	ev_timer_start(h->loop, &h->tick);
 }
 
-/* lw_hub_on_tick() - call @fn every LW_HUB_TICK_S seconds. */
+/* lw_evloop_on_tick() - calls @fn every LW_EVLOOP_TICK_S seconds. */
 void lw_evloop_on_tick(lw_evloop_t *h, lw_evloop_fn fn, void *ctx)
 {
 	h->tick_hooks[h->ntick++] = (lw_evloop_hook_t){ fn, ctx };
 }
 
-/* lw_hub_on_flush() - call @fn before the loop waits: one write for many events. */
+/*
+ * lw_evloop_on_flush() - calls @fn at the end of each loop iteration, so that many events
+ * share one write.
+ */
 void lw_evloop_on_flush(lw_evloop_t *h, lw_evloop_fn fn, void *ctx)
 {
 	h->flush_hooks[h->nflush++] = (lw_evloop_hook_t){ fn, ctx };
 }
 
 /*
- * lw_hub_free_later() - free @ptr when this turn of the loop is over, as
- * callers up the stack may still look at it.
+ * lw_evloop_free_later() - frees @ptr at the end of this loop iteration, as callers up the
+ * stack may still use it.
  */
 void lw_evloop_free_later(lw_evloop_t *h, void *ptr)
 {
@@ -117,7 +123,7 @@
 	h->garbage[h->ngarbage++] = ptr;
 }
 
-/* lw_hub_random() - a random number from 0 to @below - 1 (xorshift64*). */
+/* lw_evloop_random() - returns a random number from 0 to @below - 1 (xorshift64*). */
 uint32_t lw_evloop_random(lw_evloop_t *h, uint32_t below)
 {
 	h->rng ^= h->rng >> 12;
--- a/src/frame.c
+++ b/src/frame.c
@@ -11,8 +11,8 @@
 #include "xalloc.h"
 
 /*
- * lw_frame_encode() - encode @f with its length prefix into a new buffer.
- * Returns the number of bytes; the caller frees *@buf.
+ * lw_frame_encode() - encodes @f with its length prefix into a new buffer. Returns the
+ * number of bytes; the caller frees *@buf.
  */
 size_t lw_frame_encode(const Lw__Frame *f, uint8_t **buf)
 {
@@ -29,8 +29,8 @@
 }
 
 /*
- * lw_frame_decode() - decode one frame body (without the prefix).
- * Returns LW_ERR_PROTO when the bytes are not a Frame or carry no body.
+ * lw_frame_decode() - decodes one frame body (without the prefix). Returns LW_ERR_PROTO if
+ * the bytes are not a frame or the frame has no body.
  */
 lw_status_t lw_frame_decode(const uint8_t *buf, size_t len, Lw__Frame **out)
 {
@@ -53,7 +53,7 @@
 	return LW_OK;
 }
 
-/* lw_frame_free() - release a frame from lw_frame_decode() or lw_frame_read(). */
+/* lw_frame_free() - releases a frame from lw_frame_decode() or lw_frame_read(). */
 void lw_frame_free(Lw__Frame *f)
 {
 	if (f)
@@ -75,7 +75,7 @@
 	return LW_OK;
 }
 
-/* lw_frame_write() - encode and send @f on the blocking socket @fd. */
+/* lw_frame_write() - encodes and sends @f on the blocking socket @fd. */
 lw_status_t lw_frame_write(int fd, const Lw__Frame *f)
 {
 	uint8_t *buf;
@@ -143,13 +143,13 @@
 }
 
 /*
- * lw_frame_read() - read one frame from @fd.
- * @idle_ms: how long to wait for its first byte.
- * @frame_ms: how long the whole frame may take from there.
+ * lw_frame_read() - reads one frame from @fd.
+ * @idle_ms: timeout for its first byte.
+ * @frame_ms: timeout for the whole frame after its first byte.
  *
- * LW_ERR_TIMEOUT means no byte came: the connection is still in step and may
- * be read again. Any other error leaves it in the middle of a frame (a late
- * rest would be read as the start of another answer): close it.
+ * LW_ERR_TIMEOUT means that no byte arrived: the connection is still in sync and may be
+ * read again. Any other error leaves it in the middle of a frame, so that late data would
+ * be read as the start of another answer: close it.
  */
 lw_status_t lw_frame_read(int fd, int idle_ms, int frame_ms, Lw__Frame **out)
 {
--- a/src/heartbeat.c
+++ b/src/heartbeat.c
@@ -1,9 +1,9 @@
 /*
- * Membership between nodes. Every round a node exchanges heartbeats with
- * one random peer of the host list (anti-entropy: both learn of a newer
- * configuration, Demers et al. 1987), with peers it depends on that are
- * suspected or draining, and over its longest idle connections, which finds
- * those that went silent. A draining node tells its recent callers at once.
+ * Membership protocol between nodes. In every round a node exchanges heartbeats with one
+ * random peer of the host list (anti-entropy: both learn of a newer configuration, Demers
+ * et al. 1987), with peers it depends on that are suspected or draining, and over its
+ * longest idle connections, which detects those that went silent. A draining node notifies
+ * its recent callers at once.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,16 +16,16 @@
 #include "xalloc.h"
 
 #define ROUND_MS       500
-#define PING_MS	       300 /* longest wait for a heartbeat's answer */
-#define WATCHED_MAX    4 /* suspected or draining peers asked in a round */
-#define POOL_IDLE_MS   10000 /* idle connections are closed after this */
-#define CALLER_KEEP_MS 60000 /* callers of the last minute are told of a drain */
-#define JOIN_PEERS     4 /* peers asked before the first request is taken */
+#define PING_MS	       300 /* timeout of a heartbeat */
+#define WATCHED_MAX    4 /* suspected or draining peers contacted in a round */
+#define POOL_IDLE_MS   10000 /* idle time after which connections are closed */
+#define CALLER_KEEP_MS 60000 /* callers of the last minute are notified of a drain */
+#define JOIN_PEERS     4 /* peers contacted before the first request is accepted */
 #define JOIN_POLL_MS   5
 #define JOIN_MAX_MS    2000
-#define DRAIN_THREADS  4 /* peers told of a drain at the same time */
+#define DRAIN_THREADS  4 /* peers notified of a drain in parallel */
 
-/* lw_heartbeat_fill() - this node's state, for a ping or a pong. */
+/* lw_heartbeat_fill() - fills a ping or pong with this node's state. */
 void lw_heartbeat_fill(lw_node_t *n, Lw__Ping *ping)
 {
 	pthread_mutex_lock(&n->lock);
@@ -37,7 +37,7 @@
 	ping->incarnation = n->incarnation;
 }
 
-/* lw_heartbeat_heard() - a peer told its state, in a ping or a pong. */
+/* lw_heartbeat_received() - processes the state of a peer in a ping or pong. */
 void lw_heartbeat_received(lw_node_t *n, const Lw__Ping *ping)
 {
 	lw_event_t ev = { .kind = LW_EV_PEER_STATE,
@@ -68,7 +68,7 @@
 	if (!lw_pool_ask(n->pool, addr, &f, PING_MS, false, &reply))
 		return;
 	if (reply->body_case == LW__FRAME__BODY_PONG && reply->pong->nonce == ping.nonce) {
-		/* a peer behind another address is known by the one we reached it at */
+		/* a peer that advertises another address is identified by the address used */
 		if (strcmp(reply->pong->sender, addr) != 0)
 			lw_log(LW_LOG_peer_address, "listed=%s advertised=%s", addr,
 			       reply->pong->sender);
@@ -81,11 +81,11 @@
 {
 	lw_peer_state_t s = lw_peer_state(p, now);
 
-	/* only peers this node has dealt with: the fleet watches the others */
+	/* only peers that this node has contacted; other nodes watch the rest */
 	return p->incarnation && (s == LW_PEER_SUSPECTED || s == LW_PEER_DRAINING);
 }
 
-/* the peers of this round: one at random, and the watched ones in turn */
+/* chooses the peers of this round: one at random, and the watched ones in turn */
 static size_t choose(lw_node_t *n, char addrs[][LW_NAME_MAX], size_t max, size_t *turn)
 {
 	const lw_peerset_t *ps = n->policy->info.peers;
@@ -130,11 +130,10 @@
 }
 
 /*
- * Before it takes requests, a node compares its configuration with a few
- * peers: it may have started while the service serves an old version, and
- * must not act on what the fleet has left behind. It waits for this no
- * longer than JOIN_MAX_MS, so that a fleet started as a whole, or without
- * the service, comes up too.
+ * Before it accepts requests, a node compares its configuration with a few peers: it may
+ * have started while the configuration service delivers an old version, and must not use a
+ * version that the fleet has replaced. The wait is limited to JOIN_MAX_MS, so that a fleet
+ * that starts as a whole, or without the service, becomes available too.
  */
 static void sync_before_serving(lw_node_t *n)
 {
@@ -171,13 +170,13 @@
 			ping_peer(n, addrs[i]);
 		lw_pool_trim(n->pool, POOL_IDLE_MS);
 		forget_old_callers(n);
-		/* spread the rounds, so that nodes started together do not beat together */
+		/* random interval, so that nodes started together do not synchronise */
 		usleep((useconds_t)(ROUND_MS * 3 / 4 + lrand48() % (ROUND_MS / 2)) * 1000);
 	}
 	return NULL;
 }
 
-/* lw_heartbeat_start() - begin the rounds, in a thread of their own. */
+/* lw_heartbeat_start() - starts the heartbeat thread. */
 void lw_heartbeat_start(lw_node_t *n)
 {
 	pthread_t t;
@@ -191,7 +190,7 @@
 	lw_node_t *n;
 	char (*addrs)[LW_NAME_MAX];
 	size_t count;
-	size_t next; /* atomic: taken by DRAIN_THREADS threads */
+	size_t next; /* atomic: incremented by DRAIN_THREADS threads */
 	int users;
 } notify_job_t;
 
@@ -210,9 +209,9 @@
 }
 
 /*
- * lw_heartbeat_tell_callers() - send this node's (drain) state to the nodes
- * that called it in the last minute, so that a leaving backend server gets
- * no new work even while the platform's host list lags.
+ * lw_heartbeat_notify_callers() - sends this node's (drain) state to the nodes that called
+ * it in the last minute, so that a backend server that shuts down gets no new work even
+ * while the platform's host list is outdated.
  */
 void lw_heartbeat_notify_callers(lw_node_t *n)
 {
@@ -230,7 +229,7 @@
 		pthread_t th;
 
 		if (pthread_create(&th, NULL, notify_main, t))
-			notify_main(t); /* out of threads: tell them here */
+			notify_main(t); /* out of threads: notify them in this thread */
 		else
 			pthread_detach(th);
 	}
--- a/src/inbound.c
+++ b/src/inbound.c
@@ -1,6 +1,6 @@
 /*
- * The inbound path: a caller (HTTP) or a peer (frame) asks this node's
- * backend server, and the local backend server asks for other services.
+ * The inbound path: requests to this node's backend server from callers (HTTP) and peers
+ * (frames), and requests of the local backend server to other services.
  */
 #include <stdio.h>
 #include <string.h>
@@ -12,7 +12,10 @@
 
 #define LW_STARTING_RETRY_MS 500
 
-/* the reducer's word on a repeat that this node has no record of */
+/*
+ * asks other nodes for the record of a retry that this node has no record of, and reports
+ * the result to the reducer
+ */
 static void look_up_record(lw_node_t *n, lw_call_t *c, const lw_request_t *rq)
 {
 	lw_event_t ev = { .kind = LW_EV_IN_RECORD, .id = c->id, .outcome = LW_UNKNOWN };
@@ -30,9 +33,9 @@
 }
 
 /*
- * lw_inbound_backend_done() - the backend server finished a request (from a
- * worker thread). Its caller may have been answered "unknown" long since:
- * the slot and the records are settled here all the same.
+ * lw_inbound_backend_done() - the backend server finished a request (called by a worker
+ * thread). Its slot and records are updated even if the caller was already answered with
+ * "unknown".
  */
 void lw_inbound_backend_done(void *ctx, uint64_t id, const lw_backend_result_t *res)
 {
@@ -53,7 +56,7 @@
 	pthread_mutex_unlock(&n->lock);
 }
 
-/* wait for the reducer's word; false when the deadline came first */
+/* waits for the reducer's decision; false if the deadline passed first */
 static bool wait_for_decision(lw_node_t *n, lw_call_t *c, uint64_t deadline_at)
 {
 	while (c->state == LW_CALL_WAIT)
@@ -76,13 +79,16 @@
 	c->state = LW_CALL_WAIT;
 	lw_backend_run(n->backend, c->id, rq, c->retry_budget, deadline_at);
 	if (!wait_for_decision(n, c, deadline_at))
-		/* its answer goes out now; the backend server's is kept for a repeat */
+		/*
+		 * the caller is answered now; the backend server's response is kept for a
+		 * retry
+		 */
 		give_up(c, LW_UNKNOWN, LW_R_TIMEOUT);
 }
 
 /*
- * lw_inbound_serve() - serve @rq by this node's backend server, within its
- * deadline. A done @res holds an answer reference.
+ * lw_inbound_serve() - lets this node's backend server execute @rq within its deadline. A
+ * @res with outcome done holds a reference to the answer.
  */
 void lw_inbound_serve(lw_node_t *n, const lw_request_t *rq, lw_result_t *res)
 {
@@ -110,7 +116,10 @@
 	if (c.state == LW_CALL_LOOKUP)
 		look_up_record(n, &c, rq);
 	if (!wait_for_decision(n, &c, deadline_at))
-		/* still queued; once closed here it is never run (see apply()) */
+		/*
+		 * still queued; after the call is closed here it is never executed (see
+		 * apply())
+		 */
 		give_up(&c, LW_NOT_RUN, LW_R_DEADLINE);
 	else if (c.state == LW_CALL_ADMITTED)
 		run_on_backend(n, &c, rq, deadline_at);
@@ -132,7 +141,7 @@
 
 static void result_to_http(lw_node_t *n, lw_result_t *res, lw_http_resp_t *resp)
 {
-	/* a draining node will be gone: a request on a kept connection would be lost */
+	/* a draining node will exit: a request on a kept-alive connection would be lost */
 	if (draining(n))
 		lw_http_set_header(resp, "Connection", "close");
 	lw_http_set_header(resp, "X-LW-Outcome", "%s", lw_outcome_name(res->outcome));
@@ -170,8 +179,8 @@
 }
 
 /*
- * lw_inbound_http() - HTTP from callers (/v1/call/NAME: this node's service)
- * and from the local backend server (/v1/out/SERVICE/NAME: another one).
+ * lw_inbound_http() - handles HTTP requests of callers (/v1/call/NAME: this node's service)
+ * and of the local backend server (/v1/out/SERVICE/NAME: another service).
  */
 void lw_inbound_http(void *ctx, const lw_http_req_t *req, lw_http_resp_t *resp)
 {
--- a/src/mailbox.c
+++ b/src/mailbox.c
@@ -1,9 +1,9 @@
-/* Handing snapshots to the request loop; see mailbox.h. */
+/* Passing snapshots between threads; see mailbox.h. */
 #include "mailbox.h"
 
 #include <urcu-bp.h>
 
-/* lw_mailbox_put() - @snapshot replaces what is there. */
+/* lw_mailbox_put() - stores @snapshot and releases one that was not taken. */
 void lw_mailbox_put(lw_mailbox_t *m, void *snapshot)
 {
 	void *old = rcu_xchg_pointer(&m->slot, snapshot);
@@ -14,7 +14,7 @@
 		ev_async_send(m->loop, m->wake);
 }
 
-/* lw_mailbox_take() - the newest snapshot, NULL if none is new. */
+/* lw_mailbox_take() - returns the newest snapshot; NULL if there is no new one. */
 void *lw_mailbox_take(lw_mailbox_t *m)
 {
 	return rcu_xchg_pointer(&m->slot, NULL);
--- a/src/outbound.c
+++ b/src/outbound.c
@@ -1,6 +1,6 @@
 /*
- * The outbound path: calls of the local backend server to other services,
- * each attempt over a peer connection to the node the reducer chose.
+ * The outbound path: calls of the local backend server to other services. Each attempt goes
+ * over a peer connection to the node chosen by the reducer.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 #include "node_int.h"
 #include "xalloc.h"
 
-#define LOOKUP_MS 200 /* longest wait for one node's record of a key */
+#define LOOKUP_MS 200 /* timeout for querying one node's record of a key */
 
 static void fail_to_event(lw_pool_fail_t f, lw_event_t *ev)
 {
@@ -55,7 +55,7 @@
 	return lw_answer_new(1, (int)status, copy, body->len, retries_used);
 }
 
-/* one attempt of @rq at the peer the reducer chose; fills @ev */
+/* makes one attempt of @rq at the peer chosen by the reducer; fills @ev */
 static void attempt(lw_node_t *n, const lw_call_t *c, const lw_pool_call_t *to,
 		    const lw_request_t *rq, uint64_t deadline_at, lw_event_t *ev,
 		    lw_answer_t **answer)
@@ -111,7 +111,7 @@
 	ev->parent = rq->parent;
 }
 
-/* carry out the reducer's SEND effects until it answers; lock held */
+/* executes the reducer's SEND effects until it returns an answer; lock held */
 static void run_attempts(lw_node_t *n, lw_call_t *c, const lw_request_t *rq, uint64_t deadline_at,
 			 lw_answer_t **answer)
 {
@@ -134,8 +134,8 @@
 }
 
 /*
- * lw_outbound_serve() - call @service with @rq for the local backend server.
- * A done @res holds an answer reference.
+ * lw_outbound_serve() - calls @service with @rq for the local backend server. A @res with
+ * outcome done holds a reference to the answer.
  */
 void lw_outbound_serve(lw_node_t *n, const char *service, const lw_request_t *rq, lw_result_t *res)
 {
@@ -209,9 +209,9 @@
 }
 
 /*
- * lw_outbound_lookup() - ask the other nodes of this service for the stored
- * answer of @rq's idempotency key; true with a reference in *@answer.
- * Draining peers are asked too: they may be the ones that ran it.
+ * lw_outbound_lookup() - asks the other nodes of this service for the stored answer of
+ * @rq's idempotency key; true with a reference in *@answer. Draining peers are asked too,
+ * as they may have executed the request.
  */
 bool lw_outbound_lookup(lw_node_t *n, const lw_request_t *rq, lw_answer_t **answer)
 {
--- a/src/peersrv.c
+++ b/src/peersrv.c
@@ -1,6 +1,4 @@
-/*
- * Frames from peers: one thread per connection, one frame at a time.
- */
+/* Server for frames from peers: one thread per connection, one frame at a time. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -16,8 +14,8 @@
 #include "xalloc.h"
 
 #define CONN_STACK    (256 * 1024)
-#define CONN_IDLE_MS  60000 /* peers close their idle connections sooner */
-#define CONN_FRAME_MS 5000 /* a frame that takes longer is broken off */
+#define CONN_IDLE_MS  60000 /* peers close their idle connections earlier */
+#define CONN_FRAME_MS 5000 /* a frame that takes longer is aborted */
 
 typedef struct conn {
 	lw_node_t *n;
@@ -154,7 +152,7 @@
 	rcu_read_lock();
 	pc = rcu_dereference(n->config);
 	if (pc && pc->version > req->newer_than) {
-		/* a copy: the peer may be slow, and readers must not hold up writers */
+		/* copied, as the peer may be slow and an RCU reader must not delay writers */
 		text = xstrndup(pc->text, pc->textlen);
 		rep.version = pc->version;
 		rep.hash = pc->hash;
@@ -219,7 +217,7 @@
 	pthread_attr_setstacksize(&attr, CONN_STACK);
 	pthread_attr_setdetachstate(&attr, PTHREAD_CREATE_DETACHED);
 	if (pthread_create(&t, &attr, conn_main, c)) {
-		/* out of threads: the peer sees a closed connection and goes elsewhere */
+		/* out of threads: the peer sees a closed connection and uses another node */
 		close(fd);
 		free(c);
 	}
@@ -236,12 +234,12 @@
 		if (fd >= 0)
 			serve_connection(n, fd);
 		else
-			usleep(10000); /* out of descriptors: do not spin until one is free */
+			usleep(10000); /* out of file descriptors: do not spin until one is free */
 	}
 	return NULL;
 }
 
-/* lw_peersrv_start() - listen for peers; LW_ERR_IO names a taken address. */
+/* lw_peersrv_start() - listens for peers; LW_ERR_IO if the address is in use. */
 lw_status_t lw_peersrv_start(lw_node_t *n)
 {
 	lw_status_t st = lw_sock_listen(n->set.peer_listen, &n->peer_fd);
--- a/src/storereader.c
+++ b/src/storereader.c
@@ -1,4 +1,4 @@
-/* Control of the thread that reads the store; see feed.h. */
+/* Control of the thread that reads the store; see storereader.h. */
 #include "storereader.h"
 
 #include <string.h>
@@ -6,12 +6,12 @@
 
 #include "linux/clock.h"
 
-/* news of others' reads that is older says nothing; they come every 0.7 s, us */
+/* other nodes' reads are reported every 0.7 s; a report older than this is out of date, us */
 #define REMOTE_READ_RECENT_US 2000000
-/* after an outage entries that lapsed in it are back within this time, us */
+/* entries that expired during an outage are back within this time after it, us */
 #define OUTAGE_RECOVERY_US 2100000
 
-/* lw_feed_init() - the store is wanted at first. */
+/* lw_storereader_init() - initialises the state; reading is enabled. */
 void lw_storereader_init(lw_storereader_t *f, const lw_proxyset_t *set)
 {
 	pthread_condattr_t steady;
@@ -20,13 +20,13 @@
 	f->set = set;
 	f->enabled = 1;
 	pthread_mutex_init(&f->lock, NULL);
-	/* the time of day may jump, a pause must not grow with it */
+	/* monotonic, as a change of the wall-clock time must not extend a pause */
 	pthread_condattr_init(&steady);
 	pthread_condattr_setclock(&steady, CLOCK_MONOTONIC);
 	pthread_cond_init(&f->wake, &steady);
 }
 
-/* lw_feed_why_name() - as in metrics. */
+/* lw_storereader_reason_name() - returns the reason's name in metrics. */
 const char *lw_storereader_reason_name(lw_storereader_reason_t reason)
 {
 	static const char *const names[LW_STOREREADER_REASON_COUNT] = {
@@ -46,44 +46,44 @@
 	pthread_mutex_unlock(&f->lock);
 }
 
-/* lw_feed_rests() - from the loop: whether the store is not read now. */
+/* lw_storereader_is_idle() - request loop: returns true if reading is disabled. */
 bool lw_storereader_is_idle(const lw_storereader_t *f)
 {
 	return !__atomic_load_n(&f->enabled, __ATOMIC_RELAXED);
 }
 
-/* lw_feed_want() - from the loop: read the store from now on. */
+/* lw_storereader_start() - request loop: reads the store from now on, for @reason. */
 void lw_storereader_start(lw_storereader_t *f, lw_storereader_reason_t reason)
 {
 	__atomic_store_n(&f->reason, reason, __ATOMIC_RELAXED);
 	set_enabled(f, true);
 }
 
-/* lw_feed_rest() - from the loop: others read it. */
+/* lw_storereader_stop() - request loop: stops reading, as other nodes read the store. */
 void lw_storereader_stop(lw_storereader_t *f)
 {
 	set_enabled(f, false);
 }
 
 /*
- * lw_feed_set_patient() - from the loop: whether this node leaves it to others to be
- * the first to read again. In an outage every node of a fleet asks the store, and
- * its calls are priced, those that fail, too.
+ * lw_storereader_set_deferring() - request loop: sets whether this node lets other nodes
+ * retry the store first. In an outage every node of a fleet calls the store, and its calls
+ * are charged for, including failed ones.
  */
 void lw_storereader_set_deferring(lw_storereader_t *f, bool deferring)
 {
 	__atomic_store_n(&f->deferring, deferring, __ATOMIC_RELAXED);
 }
 
-/* lw_feed_is_patient() - from the reader. */
+/* lw_storereader_is_deferring() - reader thread: whether other nodes retry first. */
 bool lw_storereader_is_deferring(const lw_storereader_t *f)
 {
 	return __atomic_load_n(&f->deferring, __ATOMIC_RELAXED);
 }
 
 /*
- * lw_feed_wait_wanted() - from the reader: wait until the store is to be read.
- * True if it was not for a while, so that what the reader knows is old.
+ * lw_storereader_wait_started() - reader thread: waits until reading is enabled. Returns
+ * true if it was disabled, so that the reader's state is outdated.
  */
 bool lw_storereader_wait_started(lw_storereader_t *f)
 {
@@ -96,7 +96,10 @@
 	return true;
 }
 
-/* lw_feed_hurry() - from the loop: what was read last is old, read again at once. */
+/*
+ * lw_storereader_read_now() - request loop: ends the current pause, as the last read is
+ * outdated.
+ */
 void lw_storereader_read_now(lw_storereader_t *f)
 {
 	pthread_mutex_lock(&f->lock);
@@ -105,7 +108,10 @@
 	pthread_mutex_unlock(&f->lock);
 }
 
-/* lw_feed_pause() - from the reader: wait for @ms milliseconds, less if it is to hurry. */
+/*
+ * lw_storereader_pause() - reader thread: waits for @ms milliseconds, or until
+ * lw_storereader_read_now() is called.
+ */
 void lw_storereader_pause(lw_storereader_t *f, uint32_t ms)
 {
 	struct timespec until;
@@ -125,7 +131,10 @@
 	pthread_mutex_unlock(&f->lock);
 }
 
-/* lw_feed_asked() - from the reader: a call begins that the store may hold for @wait_ms. */
+/*
+ * lw_storereader_call_started() - reader thread: a call to the store begins, which the
+ * store may hold open for @wait_ms.
+ */
 void lw_storereader_call_started(lw_storereader_t *f, uint32_t wait_ms)
 {
 	uint64_t due = lw_now_boot_us() + (uint64_t)wait_ms * 1000;
@@ -134,14 +143,14 @@
 	__atomic_store_n(&f->due_us, due, __ATOMIC_RELEASE);
 }
 
-/* lw_feed_failed() - from the reader: the call failed. */
+/* lw_storereader_call_failed() - reader thread: the call failed. */
 void lw_storereader_call_failed(lw_storereader_t *f)
 {
 	__atomic_store_n(&f->failed_us, lw_now_boot_us(), __ATOMIC_RELEASE);
 	__atomic_store_n(&f->due_us, 0, __ATOMIC_RELEASE);
 }
 
-/* lw_feed_read() - from the reader: the store has answered just now. */
+/* lw_storereader_call_succeeded() - reader thread: the store answered just now. */
 void lw_storereader_call_succeeded(lw_storereader_t *f)
 {
 	__atomic_store_n(&f->read_us, lw_now_boot_us(), __ATOMIC_RELEASE);
@@ -149,7 +158,7 @@
 	ev_async_send(f->conf.loop, f->conf.wake);
 }
 
-/* lw_feed_others_read() - from the loop: another node read the store at @at_us. */
+/* lw_storereader_note_remote_read() - request loop: another node read the store at @at_us. */
 void lw_storereader_note_remote_read(lw_storereader_t *f, uint64_t at_us)
 {
 	uint64_t before = __atomic_load_n(&f->remote_read_us, __ATOMIC_RELAXED);
@@ -162,11 +171,10 @@
 }
 
 /*
- * lw_feed_others_read_lately() - from the reader: others reach the store, so
- * that calls of this node that fail are its own trouble and no outage. Where
- * they have only just reached it again there was one: taken for this node's own
- * trouble, entries that lapsed in it would be dropped before their servers can
- * write them again.
+ * lw_storereader_remote_read_recently() - reader thread: returns true if other nodes reach
+ * the store, so that failed calls of this node are a local problem and no outage. Right
+ * after other nodes reach the store again there was an outage: treating it as a local
+ * problem would drop entries that expired in it before their servers can write them again.
  */
 bool lw_storereader_remote_read_recently(const lw_storereader_t *f)
 {
@@ -177,13 +185,19 @@
 	       now - __atomic_load_n(&f->remote_resumed_us, __ATOMIC_RELAXED) > OUTAGE_RECOVERY_US;
 }
 
-/* lw_feed_last_read_us() - boot time of the last answer; 0 if there was none. */
+/*
+ * lw_storereader_last_read_us() - returns the boot time of the last answer; 0 if there was
+ * none.
+ */
 uint64_t lw_storereader_last_read_us(const lw_storereader_t *f)
 {
 	return __atomic_load_n(&f->read_us, __ATOMIC_ACQUIRE);
 }
 
-/* lw_feed_last_known_us() - boot time at which the store last answered any node, as far as known. */
+/*
+ * lw_storereader_last_known_read_us() - returns the boot time at which the store last
+ * answered any node, as far as known.
+ */
 uint64_t lw_storereader_last_known_read_us(const lw_storereader_t *f)
 {
 	uint64_t own = lw_storereader_last_read_us(f);
@@ -192,13 +206,19 @@
 	return own > others ? own : others;
 }
 
-/* lw_feed_last_failure_us() - boot time at which a call last failed; 0: none did. */
+/*
+ * lw_storereader_last_failure_us() - returns the boot time of the last failed call; 0 if
+ * there was none.
+ */
 uint64_t lw_storereader_last_failure_us(const lw_storereader_t *f)
 {
 	return __atomic_load_n(&f->failed_us, __ATOMIC_ACQUIRE);
 }
 
-/* lw_feed_overdue() - whether the call under way has had no answer for @us after it was due. */
+/*
+ * lw_storereader_call_overdue() - returns true if the answer of the current call is overdue
+ * by more than @us.
+ */
 bool lw_storereader_call_overdue(const lw_storereader_t *f, uint64_t us)
 {
 	uint64_t due = __atomic_load_n(&f->due_us, __ATOMIC_ACQUIRE);
