--- a/src/proxy.c
+++ b/src/proxy.c
@@ -46,7 +46,7 @@
 		.gate = p->engine.gate.stats,
 		.mesh = *lw_mesh_stats(p->engine.mesh),
 		.callers = *lw_callers_stats(p->callers),
-		.feed = p->feed.stats,
+		.store_reader = p->store_reader.stats,
 		.routes = &p->engine.routes,
 		.connections = lw_callers_count(p->callers),
 		.active = p->engine.active,
@@ -83,7 +83,7 @@
 		.spread = &p->spread,
 		.quota_keeper = p->quota_keeper,
 		.mesh = lw_mesh_stats(p->engine.mesh),
-		.feed = &p->feed.stats,
+		.store_reader = &p->store_reader.stats,
 	};
 	size_t len = 0;
 	char *text = NULL;
--- a/src/proxy_int.h
+++ b/src/proxy_int.h
@@ -20,7 +20,7 @@
 	lw_evloop_t evloop;
 	lw_engine_t engine;
 	lw_callers_t *callers;
-	lw_storereader_t feed;
+	lw_storereader_t store_reader;
 	ev_async fed;
 	ev_signal term;
 	ev_signal interrupt;
--- a/src/proxylease.c
+++ b/src/proxylease.c
@@ -16,9 +16,9 @@
 {
 	return (lw_lease_evidence_t){
 		.now_us = p->evloop.now_us,
-		.read_us = lw_storereader_last_read_us(&p->feed),
-		.failed_us = lw_storereader_last_failure_us(&p->feed),
-		.pending = lw_storereader_call_overdue(&p->feed, LW_LEASE_PENDING_US),
+		.read_us = lw_storereader_last_read_us(&p->store_reader),
+		.failed_us = lw_storereader_last_failure_us(&p->store_reader),
+		.pending = lw_storereader_call_overdue(&p->store_reader, LW_LEASE_PENDING_US),
 		.healthy_us = p->probe.healthy_us,
 		.leaving = p->probe.leaving || p->engine.gate.notice.leaving,
 	};
@@ -104,7 +104,7 @@
 	p->round_us = p->evloop.now_us;
 	ask_server(p);
 	read_store(p);
-	lw_storereader_read_now(&p->feed);
+	lw_storereader_read_now(&p->store_reader);
 	ev_timer_again(p->evloop.loop, &p->lease_step);
 }
 
--- a/src/proxynews.c
+++ b/src/proxynews.c
@@ -144,11 +144,11 @@
 /* this node reads the store itself from now on */
 static void begin_reading(lw_proxy_t *p, lw_storereader_reason_t why)
 {
-	if (p->servers && lw_storereader_is_idle(&p->feed))
-		lw_mailbox_put(&p->feed.in_use, lw_serverlist_copy(p->servers));
-	lw_storereader_start(&p->feed, why);
-	lw_storereader_set_deferring(&p->feed, why == LW_STOREREADER_STALE && p->servers &&
-						       !lw_spread_steps_in(&p->spread));
+	if (p->servers && lw_storereader_is_idle(&p->store_reader))
+		lw_mailbox_put(&p->store_reader.in_use, lw_serverlist_copy(p->servers));
+	lw_storereader_start(&p->store_reader, why);
+	lw_storereader_set_deferring(&p->store_reader, why == LW_STOREREADER_STALE && p->servers &&
+							       !lw_spread_steps_in(&p->spread));
 	/* several reasons may hold at once: only a new one that outlasts the others is told */
 	if (p->reads && (p->reads_why == why || why != LW_STOREREADER_ELECTED))
 		return;
@@ -161,7 +161,7 @@
 
 static void end_reading(lw_proxy_t *p)
 {
-	lw_storereader_stop(&p->feed);
+	lw_storereader_stop(&p->store_reader);
 	if (p->reads)
 		lw_log(LW_LOG_store_reading, "why=none others_age_ms=%llu rank=%u",
 		       (unsigned long long)((p->evloop.now_us - p->others_us) / 1000),
@@ -199,8 +199,8 @@
 static void on_fed(struct ev_loop *loop, ev_async *w, int revents)
 {
 	lw_proxy_t *p = w->data;
-	lw_fleetconf_t *fc = lw_mailbox_take(&p->feed.conf);
-	lw_serverlist_t *sl = lw_mailbox_take(&p->feed.servers);
+	lw_fleetconf_t *fc = lw_mailbox_take(&p->store_reader.conf);
+	lw_serverlist_t *sl = lw_mailbox_take(&p->store_reader.servers);
 
 	(void)loop;
 	(void)revents;
@@ -209,8 +209,8 @@
 	if (sl)
 		apply_servers(p, sl, "store");
 	update_ready(p);
-	if (lw_storereader_last_read_us(&p->feed) > p->news_us) {
-		p->news_us = lw_storereader_last_read_us(&p->feed);
+	if (lw_storereader_last_read_us(&p->store_reader) > p->news_us) {
+		p->news_us = lw_storereader_last_read_us(&p->store_reader);
 		pass_on(p);
 	}
 	decide_reading(p);
@@ -319,7 +319,7 @@
 		p->others_us = at_us;
 		lw_str_copy(p->news_from, sizeof(p->news_from), lw_str_c(node));
 	}
-	lw_storereader_note_remote_read(&p->feed, at_us);
+	lw_storereader_note_remote_read(&p->store_reader, at_us);
 	if (at_us <= p->news_us)
 		return;
 	p->news_us = at_us;
@@ -360,7 +360,7 @@
 		return;
 	p->hurried_us = p->evloop.now_us;
 	lw_proxy_read_for(p, HURRY_READ_US, LW_STOREREADER_SERVER_REPLACED);
-	lw_storereader_read_now(&p->feed);
+	lw_storereader_read_now(&p->store_reader);
 }
 
 /* try to reach a node that was lost; its first status clears it */
@@ -413,7 +413,7 @@
 	ev_async_init(&p->fed, on_fed);
 	p->fed.data = p;
 	ev_async_start(p->evloop.loop, &p->fed);
-	lw_storereader_init(&p->feed, p->set);
+	lw_storereader_init(&p->store_reader, p->set);
 	p->others_us = p->evloop.now_us;
 	lw_spread_plan(&(lw_serverlist_t){ 0 }, p->set->backend, p->set->zone, &p->spread);
 	p->reads = true;
@@ -421,10 +421,10 @@
 	ev_timer_init(&p->news_due, on_news_due, LW_NEWS_ASK_MS / 1000.0, 0);
 	p->news_due.data = p;
 	ev_timer_start(p->evloop.loop, &p->news_due);
-	p->feed.conf =
+	p->store_reader.conf =
 		(lw_mailbox_t){ .release = free_conf, .loop = p->evloop.loop, .wake = &p->fed };
-	p->feed.in_use = (lw_mailbox_t){ .release = free_servers };
-	p->feed.servers =
+	p->store_reader.in_use = (lw_mailbox_t){ .release = free_servers };
+	p->store_reader.servers =
 		(lw_mailbox_t){ .release = free_servers, .loop = p->evloop.loop, .wake = &p->fed };
-	return p->platform->start_store_reader(&p->feed);
+	return p->platform->start_store_reader(&p->store_reader);
 }
--- a/src/proxystats.c
+++ b/src/proxystats.c
@@ -207,9 +207,10 @@
 	for (int i = 0; i < LW_STOREREADER_REASON_COUNT; i++)
 		fprintf(f, "lw_store_calls_total{why=\"%s\"} %llu\n",
 			lw_storereader_reason_name((lw_storereader_reason_t)i),
-			(unsigned long long)s->feed.calls[i]);
-	counter(f, "lw_store_failures_total", "of these, failed", s->feed.failures);
-	counter(f, "lw_store_resyncs_total", "times everything was read anew", s->feed.resyncs);
+			(unsigned long long)s->store_reader.calls[i]);
+	counter(f, "lw_store_failures_total", "of these, failed", s->store_reader.failures);
+	counter(f, "lw_store_resyncs_total", "times everything was read anew",
+		s->store_reader.resyncs);
 	gauge(f, "lw_store_reader", "1: this node reads the store for others", s->reader);
 	gauge(f, "lw_store_news_age_ms", "since the store was last read by anyone", s->news_age_ms);
 	gauge(f, "lw_suspects", "requests tried alone or held, as backend servers ended under them",
--- a/src/proxystats.h
+++ b/src/proxystats.h
@@ -20,7 +20,7 @@
 	lw_gate_stats_t gate;
 	lw_mesh_stats_t mesh;
 	lw_callers_stats_t callers;
-	lw_storereader_stats_t feed;
+	lw_storereader_stats_t store_reader;
 	lw_load_t load;
 	const lw_routestats_t *routes; /* copied when it is published */
 	uint32_t connections;
--- a/src/proxystatus.c
+++ b/src/proxystatus.c
@@ -66,7 +66,7 @@
 	uint64_t calls = 0;
 
 	for (int i = 0; i < LW_STOREREADER_REASON_COUNT; i++)
-		calls += s->feed->calls[i];
+		calls += s->store_reader->calls[i];
 	fprintf(f,
 		"news: age_ms=%u from=%s reads_store=%s rank=%u told_nodes=%zu store_calls=%" PRIu64
 		" control_bytes=%" PRIu64 "\n",
--- a/src/proxystatus.h
+++ b/src/proxystatus.h
@@ -27,7 +27,7 @@
 	const lw_spread_t *spread;
 	const char (*quota_keeper)[LW_NAME_MAX]; /* LW_QUOTA_KEEPERS of them */
 	const lw_mesh_stats_t *mesh;
-	const lw_storereader_stats_t *feed;
+	const lw_storereader_stats_t *store_reader;
 } lw_proxystatus_t;
 
 void lw_proxystatus_print(FILE *f, const lw_proxystatus_t *s);
--- a/src/storereader.h
+++ b/src/storereader.h
@@ -61,7 +61,7 @@
 	/* path of the settings file; NULL if the platform does not define one */
 	const char *(*settings_path)(void);
 	/* starts a thread that fills the mailboxes until the process ends */
-	lw_status_t (*start_store_reader)(lw_storereader_t *feed);
+	lw_status_t (*start_store_reader)(lw_storereader_t *store_reader);
 	/* parses a configuration document; LW_ERR_CONFIG with the reason on failure */
 	lw_status_t (*parse_config)(const char *text, size_t len, lw_fleetconf_t **out);
 } lw_platform_t;
