--- a/tests/test_docfetch.c
+++ b/tests/test_docfetch.c
@@ -1,4 +1,7 @@
-/* Documents that spread from node to node: what is sent, and what is never taken. */
+/*
+ * Distribution of documents between nodes: encoding as a difference, rejection of corrupt
+ * data, and a randomised search over lost, delayed and duplicate messages.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,7 +12,7 @@
 #define LINES	 2000
 #define LINE_LEN 64
 
-/* a document of many lines, of which @version changes a few */
+/* returns a document of many lines, a few of which depend on @version */
 static lw_str_t text_of(uint64_t version, size_t lines)
 {
 	static char text[LINES * LINE_LEN];
@@ -41,7 +44,7 @@
 	CU_ASSERT_EQUAL(e.length, text.len);
 	CU_ASSERT_EQUAL(memcmp(got, text.ptr, text.len), 0);
 	free(got);
-	/* one that has nothing is sent all of it */
+	/* a node without any version is sent the whole document */
 	e = *lw_revdoc_encode(&from, 0);
 	CU_ASSERT_EQUAL(e.base, 0);
 	CU_ASSERT_TRUE(e.len > 10 * 512);
@@ -49,7 +52,7 @@
 	lw_revdoc_free(&to);
 }
 
-static void test_same_text_is_no_change(void)
+static void test_identical_text_is_no_change(void)
 {
 	lw_revdoc_t d = { 0 };
 
@@ -62,7 +65,7 @@
 	lw_revdoc_free(&d);
 }
 
-static void test_spoiled_is_refused(void)
+static void test_corrupt_is_rejected(void)
 {
 	lw_revdoc_t from = { 0 }, to = { 0 };
 	lw_revdoc_encoded_t e;
@@ -83,7 +86,7 @@
 	lw_revdoc_free(&from);
 }
 
-static void test_pieces_out_of_order_are_ignored(void)
+static void test_chunks_out_of_order_are_ignored(void)
 {
 	lw_docfetch_t f = { 0 };
 	lw_revdoc_t d = { 0 };
@@ -116,22 +119,26 @@
 	CU_ASSERT_TRUE(lw_docfetch_can_start(&f, 0));
 }
 
-/* The search: nodes that fetch from each other over connections that lose, delay and double frames. */
+/*
+ * Randomised search: nodes fetch from each other over connections that lose, delay and
+ * duplicate frames.
+ */
 
-#define NODES	 4
-#define FRAMES	 12
-#define RUNS	 400
-#define STEPS	 250
-#define STEP_US	 20000
-#define SETTLING 2000
-/* pieces of a few bytes would need pieces smaller than they are: the text fills several */
-#define SEARCH_LINES 900
+#define NODES	     4
+#define FRAMES	     12
+#define RUNS	     400
+#define STEPS	     250
+#define STEP_US	     20000
+#define SETTLE_STEPS 2000
+/* the size of a chunk is fixed, so the text must be long enough for several chunks */
+#define RANDOM_TEST_LINES 900
 
 typedef struct frame {
 	bool in_use;
 	bool is_piece;
 	int from, to;
-	uint32_t era; /* of both ends: a frame of a connection before a restart never comes */
+	/* sum for both ends: a frame of a connection from before a restart is never delivered */
+	uint32_t era;
 	lw_docfetch_request_t ask;
 	lw_docfetch_piece_t piece;
 	char *bytes;
@@ -145,16 +152,16 @@
 	uint64_t now_us;
 	uint64_t newest;
 	uint32_t rng;
-	unsigned broken;
+	unsigned violations;
 } run;
 
-static uint32_t draw(uint32_t below)
+static uint32_t random_below(uint32_t below)
 {
 	run.rng = run.rng * 1664525 + 1013904223;
 	return (run.rng >> 8) % below;
 }
 
-static void post(const frame_t *f)
+static void send_frame(const frame_t *f)
 {
 	for (size_t i = 0; i < FRAMES; i++) {
 		if (run.frame[i].in_use)
@@ -171,18 +178,18 @@
 	}
 }
 
-static void drop(frame_t *f)
+static void drop_frame(frame_t *f)
 {
 	free(f->bytes);
 	memset(f, 0, sizeof(*f));
 }
 
-static void ask_from(int node, int source, const lw_docfetch_request_t *ask)
+static void send_request(int node, int source, const lw_docfetch_request_t *ask)
 {
-	post(&(frame_t){ .from = node, .to = source, .ask = *ask });
+	send_frame(&(frame_t){ .from = node, .to = source, .ask = *ask });
 }
 
-static void begin(int node, int source)
+static void start_fetch(int node, int source)
 {
 	lw_docfetch_request_t ask;
 
@@ -191,10 +198,10 @@
 	    !lw_docfetch_can_start(&run.fetch[node], run.now_us))
 		return;
 	lw_docfetch_start(&run.fetch[node], &run.doc[source], &run.doc[node], run.now_us, &ask);
-	ask_from(node, source, &ask);
+	send_request(node, source, &ask);
 }
 
-static void take_piece(const frame_t *f)
+static void receive_chunk(const frame_t *f)
 {
 	uint64_t before = lw_revdoc_version(&run.doc[f->to]);
 	lw_docfetch_request_t ask;
@@ -204,14 +211,14 @@
 	switch (lw_docfetch_receive(&run.fetch[f->to], &run.doc[f->from], &run.doc[f->to],
 				    &f->piece, run.now_us, &ask, &got)) {
 	case LW_DOCFETCH_MORE:
-		ask_from(f->to, f->from, &ask);
+		send_request(f->to, f->from, &ask);
 		break;
 	case LW_DOCFETCH_DONE:
-		want = text_of(f->piece.of.version, SEARCH_LINES);
-		run.broken += f->piece.of.length != want.len || memcmp(got, want.ptr, want.len);
+		want = text_of(f->piece.of.version, RANDOM_TEST_LINES);
+		run.violations += f->piece.of.length != want.len || memcmp(got, want.ptr, want.len);
 		lw_revdoc_put(&run.doc[f->to], f->piece.of.version,
 			      (lw_str_t){ got, f->piece.of.length });
-		run.broken += lw_revdoc_version(&run.doc[f->to]) < before;
+		run.violations += lw_revdoc_version(&run.doc[f->to]) < before;
 		free(got);
 		break;
 	default:
@@ -219,22 +226,22 @@
 	}
 }
 
-static void deliver(frame_t *f, bool again)
+static void deliver_frame(frame_t *f, bool again)
 {
 	frame_t now = *f;
 	frame_t reply = { .from = f->to, .to = f->from, .is_piece = true };
 
 	if (f->era == run.era[f->from] + run.era[f->to]) {
 		if (f->is_piece)
-			take_piece(&now);
+			receive_chunk(&now);
 		else if (lw_docfetch_piece(&run.doc[f->to], &f->ask, &reply.piece))
-			post(&reply);
+			send_frame(&reply);
 	}
 	if (!again)
-		drop(f);
+		drop_frame(f);
 }
 
-static void restart(int node)
+static void restart_node(int node)
 {
 	lw_revdoc_free(&run.doc[node]);
 	for (int i = 0; i < NODES; i++)
@@ -244,63 +251,66 @@
 	run.era[node] += 1000;
 }
 
-/* node 0 reads the store */
-static void publish(void)
+/* publishes a new version in the store, which node 0 reads */
+static void publish_version(void)
 {
 	run.newest++;
-	lw_revdoc_put(&run.doc[0], run.newest, text_of(run.newest, SEARCH_LINES));
+	lw_revdoc_put(&run.doc[0], run.newest, text_of(run.newest, RANDOM_TEST_LINES));
 }
 
-static void step(bool faults)
+static void random_step(bool faults)
 {
-	frame_t *f = &run.frame[draw(FRAMES)];
-	uint32_t what = draw(100);
+	frame_t *f = &run.frame[random_below(FRAMES)];
+	uint32_t what = random_below(100);
 
-	run.now_us += draw(STEP_US);
+	run.now_us += random_below(STEP_US);
 	if (faults && what < 3)
-		restart(1 + (int)draw(NODES - 1));
+		restart_node(1 + (int)random_below(NODES - 1));
 	else if (faults && what < 9)
-		publish();
+		publish_version();
 	else if (what < 40)
-		begin((int)draw(NODES), (int)draw(NODES));
+		start_fetch((int)random_below(NODES), (int)random_below(NODES));
 	else if (f->in_use && faults && what < 50)
-		drop(f);
+		drop_frame(f);
 	else if (f->in_use)
-		deliver(f, faults && what < 55);
+		deliver_frame(f, faults && what < 55);
 }
 
-static void test_search(void)
+static void test_random_faults(void)
 {
-	unsigned behind = 0;
+	unsigned outdated = 0;
 
 	for (uint32_t seed = 1; seed <= RUNS; seed++) {
 		memset(&run.era, 0, sizeof(run.era));
 		run.rng = seed;
 		run.newest = 0;
 		for (int i = 0; i < STEPS; i++)
-			step(true);
-		publish();
-		for (int i = 0; i < SETTLING; i++)
-			step(false);
+			random_step(true);
+		publish_version();
+		for (int i = 0; i < SETTLE_STEPS; i++)
+			random_step(false);
 		for (int i = 0; i < NODES; i++) {
-			behind += lw_revdoc_version(&run.doc[i]) != run.newest;
-			restart(i);
+			outdated += lw_revdoc_version(&run.doc[i]) != run.newest;
+			restart_node(i);
 		}
 		for (int i = 0; i < FRAMES; i++)
-			drop(&run.frame[i]);
+			drop_frame(&run.frame[i]);
 	}
-	CU_ASSERT_EQUAL(run.broken, 0);
-	CU_ASSERT_EQUAL(behind, 0);
+	CU_ASSERT_EQUAL(run.violations, 0);
+	CU_ASSERT_EQUAL(outdated, 0);
 }
 
 void suite_docfetch(void)
 {
 	CU_pSuite s = CU_add_suite("docfetch", NULL, NULL);
 
-	CU_add_test(s, "only differences are sent", test_only_differences_are_sent);
-	CU_add_test(s, "the same text is no change", test_same_text_is_no_change);
-	CU_add_test(s, "a spoiled document is refused", test_spoiled_is_refused);
-	CU_add_test(s, "pieces out of order are ignored", test_pieces_out_of_order_are_ignored);
-	CU_add_test(s, "no loss, order or restart brings back a version or leaves a node behind",
-		    test_search);
+	CU_add_test(s, "only the difference between versions is sent",
+		    test_only_differences_are_sent);
+	CU_add_test(s, "an identical text is not a change", test_identical_text_is_no_change);
+	CU_add_test(s, "a corrupt document is rejected", test_corrupt_is_rejected);
+	CU_add_test(s, "chunks out of order are ignored", test_chunks_out_of_order_are_ignored);
+	CU_add_test(
+		s,
+		"lost or reordered frames and restarts never revert a version or leave a node outdated",
+		test_random_faults);
 }
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -30,10 +30,9 @@
 }
 
 /*
- * Symptom: a node crashes or allocates wildly on a garbled frame.
- * Sequence: a peer of another version, or a corrupted connection, sends
- *   bytes that are not a frame.
- * Cause: trusting the peer. The decoder refuses them with a typed error.
+ * Guards against a crash or a huge allocation on an invalid frame. A peer of another
+ * version, or a corrupted connection, sends bytes that are not a frame; the decoder must
+ * reject them with a typed error.
  */
 static void frame_garbage_refused(void)
 {
--- a/tests/test_meshclosed.c
+++ b/tests/test_meshclosed.c
@@ -1,4 +1,4 @@
-/* Connections that are over: what is known of their requests, and what is forgotten. */
+/* Closed connections: what is known of their requests, and what is not known after eviction. */
 #include <string.h>
 
 #include "lwtest.h"
@@ -15,14 +15,14 @@
 	CU_ASSERT_TRUE(lw_meshclosed_has(&past, 7));
 	CU_ASSERT_FALSE(lw_meshclosed_never_received(&past, 7, 2, 2 * SECOND_US));
 	CU_ASSERT_TRUE(lw_meshclosed_never_received(&past, 7, 3, 2 * SECOND_US));
-	/* one that never came, whatever its id */
+	/* a connection that never reached this process, whatever the stream id */
 	CU_ASSERT_FALSE(lw_meshclosed_has(&past, 8));
 	CU_ASSERT_TRUE(lw_meshclosed_never_received(&past, 8, 0, 2 * SECOND_US));
 }
 
 /*
- * An order ran twice: the connection that brought it was over and forgotten, and
- * the host said that it had never received it.
+ * Guards against an order that is executed twice: the connection that carried it was closed
+ * and evicted, and the host reported the request as never received.
  */
 static void test_forgotten_may_have_run(void)
 {
@@ -31,9 +31,9 @@
 		lw_meshclosed_add(&past, name, 1, name);
 	CU_ASSERT_FALSE(lw_meshclosed_has(&past, 1));
 	CU_ASSERT_FALSE(lw_meshclosed_never_received(&past, 1, 5, 2 * SECOND_US));
-	/* what is remembered is still told apart */
+	/* connections that are not evicted are still distinguished */
 	CU_ASSERT_TRUE(lw_meshclosed_never_received(&past, 2, 5, 2 * SECOND_US));
-	/* nobody waits any more for what was over so long ago */
+	/* no sender still waits for a request of a connection closed that long ago */
 	CU_ASSERT_TRUE(lw_meshclosed_never_received(&past, 1, 5, 120 * SECOND_US));
 }
 
@@ -45,12 +45,14 @@
 	CU_ASSERT_EQUAL(past.count, 0);
 }
 
-/* suite_meshpast() - register the tests of this file. */
+/* suite_meshclosed() - registers the tests of this file. */
 void suite_meshclosed(void)
 {
-	CU_pSuite s = CU_add_suite("meshpast", NULL, NULL);
+	CU_pSuite s = CU_add_suite("meshclosed", NULL, NULL);
 
-	CU_add_test(s, "what a connection brought is known after its end", test_knows_what_came);
-	CU_add_test(s, "what was forgotten may have run", test_forgotten_may_have_run);
-	CU_add_test(s, "a connection without a name is not noted", test_no_name_is_no_connection);
+	CU_add_test(s, "requests of a closed connection are known", test_knows_what_came);
+	CU_add_test(s, "a request of an evicted connection may have been executed",
+		    test_forgotten_may_have_run);
+	CU_add_test(s, "a connection without a name is not recorded",
+		    test_no_name_is_no_connection);
 }
--- a/tests/test_meshframe.c
+++ b/tests/test_meshframe.c
@@ -1,4 +1,4 @@
-/* Frames between lwproxy processes: what goes in comes out, garbage does not. */
+/* Codec of the frames between lwproxy processes: round trips and rejection of invalid data. */
 #include <string.h>
 
 #include "lwtest.h"
@@ -88,7 +88,7 @@
 	lw_bytebuf_free(&b);
 }
 
-static void test_refuses_garbage(void)
+static void test_rejects_invalid(void)
 {
 	static const char huge[] = "\x7f\xff\xff\xff....";
 	static const char wrong[] = "\x00\x00\x00\x04\xff\xff\xff\xff";
@@ -98,13 +98,13 @@
 	CU_ASSERT_EQUAL(lw_meshframe_next(wrong, sizeof(wrong) - 1, &f), -1);
 }
 
-/* suite_meshframe() - register the tests of this file. */
+/* suite_meshframe() - registers the tests of this file. */
 void suite_meshframe(void)
 {
 	CU_pSuite s = CU_add_suite("meshframe", NULL, NULL);
 
-	CU_add_test(s, "a request frame comes out as it went in", test_open_round_trip);
-	CU_add_test(s, "a load comes out as it went in", test_load_round_trip);
-	CU_add_test(s, "a list of servers comes out as it went in", test_servers_round_trip);
-	CU_add_test(s, "garbage and huge lengths are refused", test_refuses_garbage);
+	CU_add_test(s, "request frame round trip", test_open_round_trip);
+	CU_add_test(s, "load round trip", test_load_round_trip);
+	CU_add_test(s, "server list round trip", test_servers_round_trip);
+	CU_add_test(s, "invalid frames and excessive lengths are rejected", test_rejects_invalid);
 }
--- a/tests/test_meshoutcomes.c
+++ b/tests/test_meshoutcomes.c
@@ -1,4 +1,4 @@
-/* Outcomes kept for a moment: found while they are kept, bounded in time and bytes. */
+/* Retained outcomes: lookup while they are retained, and the limits in time and bytes. */
 #include <string.h>
 
 #include "lwtest.h"
@@ -8,20 +8,20 @@
 
 static const lw_answer_t ok = { 200, 2, { "HTTP/1.1 200 OK\r\n", 17 } };
 
-static void keep(lw_meshoutcomes_t *k, uint64_t id, uint64_t now_us)
+static void retain(lw_meshoutcomes_t *k, uint64_t id, uint64_t now_us)
 {
 	lw_stream_origin_t origin = { 9, id };
 
 	lw_meshoutcomes_add_answer(k, &origin, &ok, LW_STR("hi"), now_us);
 }
 
-static void test_finds_what_is_kept(void)
+static void test_finds_retained(void)
 {
 	lw_meshoutcomes_t k = { 0 };
 	lw_stream_origin_t refused = { 9, 4 };
 	const lw_retained_outcome_t *o;
 
-	keep(&k, 3, SECOND_US);
+	retain(&k, 3, SECOND_US);
 	lw_meshoutcomes_add_failure(&k, &refused, LW_FAIL_BUSY, 250, SECOND_US);
 	o = lw_meshoutcomes_find(&k, 9, 3);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(o);
@@ -38,8 +38,8 @@
 	CU_ASSERT_EQUAL(o->why, LW_FAIL_BUSY);
 	CU_ASSERT_EQUAL(o->retry_after_ms, 250);
 	CU_ASSERT_PTR_NULL(lw_meshoutcomes_find(&k, 8, 3));
-	/* a later one drops those that are too old */
-	keep(&k, 5, 10 * SECOND_US);
+	/* adding a later outcome drops those that are too old */
+	retain(&k, 5, 10 * SECOND_US);
 	CU_ASSERT_PTR_NULL(lw_meshoutcomes_find(&k, 9, 3));
 	CU_ASSERT_PTR_NOT_NULL(lw_meshoutcomes_find(&k, 9, 5));
 }
@@ -48,10 +48,10 @@
 {
 	static char big[20000];
 	lw_meshoutcomes_t k = { 0 };
-	lw_stream_origin_t origin = { 9, 1 }, nameless = { 0, 2 };
+	lw_stream_origin_t origin = { 9, 1 }, unnamed = { 0, 2 };
 
 	lw_meshoutcomes_add_answer(&k, &origin, &ok, (lw_str_t){ big, sizeof(big) }, SECOND_US);
-	lw_meshoutcomes_add_answer(&k, &nameless, &ok, LW_STR("hi"), SECOND_US);
+	lw_meshoutcomes_add_answer(&k, &unnamed, &ok, LW_STR("hi"), SECOND_US);
 	CU_ASSERT_PTR_NULL(k.oldest);
 	for (uint64_t id = 0; id < 300; id++) {
 		origin.id = id;
@@ -62,11 +62,11 @@
 	CU_ASSERT_PTR_NOT_NULL(lw_meshoutcomes_find(&k, 9, 299));
 }
 
-/* suite_meshkept() - register the tests of this file. */
+/* suite_meshoutcomes() - registers the tests of this file. */
 void suite_meshoutcomes(void)
 {
-	CU_pSuite s = CU_add_suite("meshkept", NULL, NULL);
+	CU_pSuite s = CU_add_suite("meshoutcomes", NULL, NULL);
 
-	CU_add_test(s, "an outcome is found while it is kept", test_finds_what_is_kept);
-	CU_add_test(s, "what is kept is bounded", test_bounded);
+	CU_add_test(s, "an outcome is found while it is retained", test_finds_retained);
+	CU_add_test(s, "time and bytes of retained outcomes are bounded", test_bounded);
 }
