--- a/tests/test_meshclosed.c
+++ b/tests/test_meshclosed.c
@@ -6,43 +6,43 @@
 
 #define SECOND_US 1000000ull
 
-static lw_meshclosed_t past;
+static lw_meshclosed_t closed;
 
-static void test_knows_what_came(void)
+static void test_requests_of_closed_connection(void)
 {
-	memset(&past, 0, sizeof(past));
-	lw_meshclosed_add(&past, 7, 3, SECOND_US);
-	CU_ASSERT_TRUE(lw_meshclosed_has(&past, 7));
-	CU_ASSERT_FALSE(lw_meshclosed_never_received(&past, 7, 2, 2 * SECOND_US));
-	CU_ASSERT_TRUE(lw_meshclosed_never_received(&past, 7, 3, 2 * SECOND_US));
+	memset(&closed, 0, sizeof(closed));
+	lw_meshclosed_add(&closed, 7, 3, SECOND_US);
+	CU_ASSERT_TRUE(lw_meshclosed_has(&closed, 7));
+	CU_ASSERT_FALSE(lw_meshclosed_never_received(&closed, 7, 2, 2 * SECOND_US));
+	CU_ASSERT_TRUE(lw_meshclosed_never_received(&closed, 7, 3, 2 * SECOND_US));
 	/* a connection that never reached this process, whatever the stream id */
-	CU_ASSERT_FALSE(lw_meshclosed_has(&past, 8));
-	CU_ASSERT_TRUE(lw_meshclosed_never_received(&past, 8, 0, 2 * SECOND_US));
+	CU_ASSERT_FALSE(lw_meshclosed_has(&closed, 8));
+	CU_ASSERT_TRUE(lw_meshclosed_never_received(&closed, 8, 0, 2 * SECOND_US));
 }
 
 /*
  * Guards against an order that is executed twice: the connection that carried it was closed
  * and evicted, and the host reported the request as never received.
  */
-static void test_forgotten_may_have_run(void)
+static void test_evicted_may_have_been_executed(void)
 {
-	memset(&past, 0, sizeof(past));
+	memset(&closed, 0, sizeof(closed));
 	for (uint64_t name = 1; name <= LW_MESHCLOSED_MAX + 1; name++)
-		lw_meshclosed_add(&past, name, 1, name);
-	CU_ASSERT_FALSE(lw_meshclosed_has(&past, 1));
-	CU_ASSERT_FALSE(lw_meshclosed_never_received(&past, 1, 5, 2 * SECOND_US));
+		lw_meshclosed_add(&closed, name, 1, name);
+	CU_ASSERT_FALSE(lw_meshclosed_has(&closed, 1));
+	CU_ASSERT_FALSE(lw_meshclosed_never_received(&closed, 1, 5, 2 * SECOND_US));
 	/* connections that are not evicted are still distinguished */
-	CU_ASSERT_TRUE(lw_meshclosed_never_received(&past, 2, 5, 2 * SECOND_US));
+	CU_ASSERT_TRUE(lw_meshclosed_never_received(&closed, 2, 5, 2 * SECOND_US));
 	/* no sender still waits for a request of a connection closed that long ago */
-	CU_ASSERT_TRUE(lw_meshclosed_never_received(&past, 1, 5, 120 * SECOND_US));
+	CU_ASSERT_TRUE(lw_meshclosed_never_received(&closed, 1, 5, 120 * SECOND_US));
 }
 
-static void test_no_name_is_no_connection(void)
+static void test_unnamed_connection_not_recorded(void)
 {
-	memset(&past, 0, sizeof(past));
-	lw_meshclosed_add(&past, 0, 3, SECOND_US);
-	CU_ASSERT_FALSE(lw_meshclosed_has(&past, 0));
-	CU_ASSERT_EQUAL(past.count, 0);
+	memset(&closed, 0, sizeof(closed));
+	lw_meshclosed_add(&closed, 0, 3, SECOND_US);
+	CU_ASSERT_FALSE(lw_meshclosed_has(&closed, 0));
+	CU_ASSERT_EQUAL(closed.count, 0);
 }
 
 /* suite_meshclosed() - registers the tests of this file. */
@@ -50,9 +50,10 @@
 {
 	CU_pSuite s = CU_add_suite("meshclosed", NULL, NULL);
 
-	CU_add_test(s, "requests of a closed connection are known", test_knows_what_came);
+	CU_add_test(s, "requests of a closed connection are known",
+		    test_requests_of_closed_connection);
 	CU_add_test(s, "a request of an evicted connection may have been executed",
-		    test_forgotten_may_have_run);
+		    test_evicted_may_have_been_executed);
 	CU_add_test(s, "a connection without a name is not recorded",
-		    test_no_name_is_no_connection);
+		    test_unnamed_connection_not_recorded);
 }
