--- a/src/docfetch.c
+++ b/src/docfetch.c
@@ -30,17 +30,17 @@
 
 /*
  * lw_docfetch_start() - starts to fetch what @source has newer than @d; the caller sends
- * @ask to it. An active transfer is abandoned.
+ * @request to it. An active transfer is abandoned.
  */
 void lw_docfetch_start(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d, uint64_t now_us,
-		       lw_docfetch_request_t *ask)
+		       lw_docfetch_request_t *request)
 {
 	if (f->source)
 		f->failed = f->source;
 	discard_pieces(f);
 	f->source = source;
 	f->request_us = now_us;
-	*ask = (lw_docfetch_request_t){ .base = f->without_base ? 0 : lw_revdoc_hash(d) };
+	*request = (lw_docfetch_request_t){ .base = f->without_base ? 0 : lw_revdoc_hash(d) };
 }
 
 /* returns true if the chunk continues the received data; a first chunk always does */
@@ -71,12 +71,12 @@
 
 /*
  * lw_docfetch_receive() - processes a chunk from @source. On LW_DOCFETCH_MORE the caller
- * sends @ask. On LW_DOCFETCH_DONE @out is the document, which the caller frees, and
+ * sends @request. On LW_DOCFETCH_DONE @out is the document, which the caller frees, and
  * piece->of has its version and length.
  */
 lw_docfetch_result_t lw_docfetch_receive(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d,
 					 const lw_docfetch_piece_t *piece, uint64_t now_us,
-					 lw_docfetch_request_t *ask, char **out)
+					 lw_docfetch_request_t *request, char **out)
 {
 	lw_status_t st;
 
@@ -85,7 +85,7 @@
 	append_piece(f, piece);
 	f->request_us = now_us;
 	if (f->got.len < f->expected) {
-		*ask = (lw_docfetch_request_t){ f->got.version, f->got.base, f->got.len };
+		*request = (lw_docfetch_request_t){ f->got.version, f->got.base, f->got.len };
 		return LW_DOCFETCH_MORE;
 	}
 	st = lw_revdoc_decode(d, &f->got, out);
@@ -108,15 +108,17 @@
  * points into @d. If the requested version is no longer the newest, the transfer restarts
  * with the newest. Returns false if there is no document.
  */
-bool lw_docfetch_piece(lw_revdoc_t *d, const lw_docfetch_request_t *ask, lw_docfetch_piece_t *out)
+bool lw_docfetch_piece(lw_revdoc_t *d, const lw_docfetch_request_t *request,
+		       lw_docfetch_piece_t *out)
 {
-	const lw_revdoc_encoded_t *e = lw_revdoc_encode(d, ask->base);
+	const lw_revdoc_encoded_t *e = lw_revdoc_encode(d, request->base);
 	size_t left;
 
 	if (!e || !e->len)
 		return false;
 	out->of = *e;
-	out->offset = ask->version == e->version && ask->offset < e->len ? ask->offset : 0;
+	out->offset =
+		request->version == e->version && request->offset < e->len ? request->offset : 0;
 	left = e->len - out->offset;
 	out->bytes.ptr = e->bytes + out->offset;
 	out->bytes.len = left < LW_DOCFETCH_PIECE ? left : LW_DOCFETCH_PIECE;
--- a/src/docfetch.h
+++ b/src/docfetch.h
@@ -54,11 +54,12 @@
 
 bool lw_docfetch_can_start(const lw_docfetch_t *f, uint64_t now_us);
 void lw_docfetch_start(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d, uint64_t now_us,
-		       lw_docfetch_request_t *ask);
+		       lw_docfetch_request_t *request);
 lw_docfetch_result_t lw_docfetch_receive(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d,
 					 const lw_docfetch_piece_t *piece, uint64_t now_us,
-					 lw_docfetch_request_t *ask, char **out);
+					 lw_docfetch_request_t *request, char **out);
 void lw_docfetch_source_lost(lw_docfetch_t *f, const void *source);
-bool lw_docfetch_piece(lw_revdoc_t *d, const lw_docfetch_request_t *ask, lw_docfetch_piece_t *out);
+bool lw_docfetch_piece(lw_revdoc_t *d, const lw_docfetch_request_t *request,
+		       lw_docfetch_piece_t *out);
 
 #endif
--- a/src/evloop.c
+++ b/src/evloop.c
@@ -24,13 +24,13 @@
 	lw_evloop_t *h = w->data;
 	uint64_t boot = lw_now_boot_us();
 	uint64_t mono = lw_now_us();
-	uint64_t apart = (boot - h->now_us) - (mono - h->mono_us);
+	uint64_t clock_gap = (boot - h->now_us) - (mono - h->mono_us);
 
 	(void)loop;
 	(void)revents;
 	h->suspended_us = 0;
-	if (boot - h->now_us > mono - h->mono_us && apart > SUSPEND_MIN_US)
-		h->suspended_us = apart;
+	if (boot - h->now_us > mono - h->mono_us && clock_gap > SUSPEND_MIN_US)
+		h->suspended_us = clock_gap;
 	else if (mono - h->mono_us > ITERATION_MAX_US)
 		h->suspended_us = mono - h->mono_us;
 	h->now_us = boot;
--- a/src/gate.c
+++ b/src/gate.c
@@ -44,7 +44,7 @@
 	out->queued = (uint32_t)g->queue.len;
 	out->limit = g->refusing ? 0 : g->limit;
 	out->service_us = (uint32_t)g->service_us;
-	out->leaving = lw_gate_leaving(g) || g->refusing || g->evloop->peers_told;
+	out->leaving = lw_gate_leaving(g) || g->refusing || g->evloop->peers_notified;
 	out->down = g->evloop->now_us < g->down_until_us;
 	out->call_failed = false;
 	out->ran_us = 0;
--- a/src/heartbeat.c
+++ b/src/heartbeat.c
@@ -86,7 +86,7 @@
 }
 
 /* chooses the peers of this round: one at random, and the watched ones in turn */
-static size_t choose(lw_node_t *n, char addrs[][LW_NAME_MAX], size_t max, size_t *turn)
+static size_t choose_peers(lw_node_t *n, char addrs[][LW_NAME_MAX], size_t max, size_t *turn)
 {
 	const lw_peerset_t *ps = n->policy->info.peers;
 	uint64_t now = lw_now_ms();
@@ -145,7 +145,7 @@
 		char addr[1][LW_NAME_MAX];
 		size_t turn = 0;
 
-		if (choose(n, addr, 1, &turn))
+		if (choose_peers(n, addr, 1, &turn))
 			ping_peer(n, addr[0]);
 	}
 	while (lw_confwatch_fetching(n) && lw_now_ms() < until)
@@ -164,7 +164,7 @@
 	sync_before_serving(n);
 	while (!__atomic_load_n(&n->stopping, __ATOMIC_RELAXED)) {
 		char addrs[1 + WATCHED_MAX][LW_NAME_MAX];
-		size_t count = choose(n, addrs, 1 + WATCHED_MAX, &turn);
+		size_t count = choose_peers(n, addrs, 1 + WATCHED_MAX, &turn);
 
 		for (size_t i = 0; i < count; i++)
 			ping_peer(n, addrs[i]);
--- a/src/inbound.c
+++ b/src/inbound.c
@@ -66,7 +66,7 @@
 	return true;
 }
 
-static void give_up(lw_call_t *c, lw_outcome_t outcome, lw_reason_t reason)
+static void end_call_timed_out(lw_call_t *c, lw_outcome_t outcome, lw_reason_t reason)
 {
 	c->res.outcome = outcome;
 	c->res.reason = reason;
@@ -83,7 +83,7 @@
 		 * the caller is answered now; the backend server's response is kept for a
 		 * retry
 		 */
-		give_up(c, LW_UNKNOWN, LW_R_TIMEOUT);
+		end_call_timed_out(c, LW_UNKNOWN, LW_R_TIMEOUT);
 }
 
 /*
@@ -120,7 +120,7 @@
 		 * still queued; after the call is closed here it is never executed (see
 		 * apply())
 		 */
-		give_up(&c, LW_NOT_RUN, LW_R_DEADLINE);
+		end_call_timed_out(&c, LW_NOT_RUN, LW_R_DEADLINE);
 	else if (c.state == LW_CALL_ADMITTED)
 		run_on_backend(n, &c, rq, deadline_at);
 	lw_node_call_close(n, &c);
@@ -129,7 +129,7 @@
 	lw_counter_add(n->count.answers[rq->cls][res->outcome], 1);
 }
 
-static bool draining(lw_node_t *n)
+static bool is_draining(lw_node_t *n)
 {
 	bool yes;
 
@@ -142,7 +142,7 @@
 static void result_to_http(lw_node_t *n, lw_result_t *res, lw_http_resp_t *resp)
 {
 	/* a draining node will exit: a request on a kept-alive connection would be lost */
-	if (draining(n))
+	if (is_draining(n))
 		lw_http_set_header(resp, "Connection", "close");
 	lw_http_set_header(resp, "X-LW-Outcome", "%s", lw_outcome_name(res->outcome));
 	lw_http_set_header(resp, "X-LW-Retries-Used", "%u", res->retries_used);
@@ -160,8 +160,8 @@
 		       lw_outcome_name(res->outcome), lw_reason_name(res->reason));
 }
 
-static bool parse(lw_node_t *n, const lw_http_req_t *req, const char *route, lw_request_t *rq,
-		  lw_http_resp_t *resp)
+static bool parse_request(lw_node_t *n, const lw_http_req_t *req, const char *route,
+			  lw_request_t *rq, lw_http_resp_t *resp)
 {
 	uint32_t paused = lw_node_paused_ms(n);
 	lw_status_t st;
@@ -193,12 +193,12 @@
 
 	if (strncmp(req->url, "/v1/call/", 9) == 0) {
 		snprintf(buf, sizeof(buf), "%s/%s", n->set.service, req->url + 9);
-		if (!parse(n, req, buf, &rq, resp))
+		if (!parse_request(n, req, buf, &rq, resp))
 			return;
 		lw_inbound_serve(n, &rq, &res);
 	} else if (slash && slash - out < LW_NAME_MAX) {
 		snprintf(buf, sizeof(buf), "%.*s", (int)(slash - out), out);
-		if (!parse(n, req, out, &rq, resp))
+		if (!parse_request(n, req, out, &rq, resp))
 			return;
 		lw_outbound_serve(n, buf, &rq, &res);
 	} else {
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -279,8 +279,8 @@
 	m->ctx = ctx;
 	m->incarnation = (uint64_t)lw_evloop_random(evloop, UINT32_MAX) << 32 | 1 |
 			 lw_evloop_random(evloop, UINT32_MAX);
-	ev_timer_init(&m->watch, on_watch, 0, WATCH_INTERVAL_S);
-	m->watch.data = m;
+	ev_timer_init(&m->watch_timer, on_watch, 0, WATCH_INTERVAL_S);
+	m->watch_timer.data = m;
 	ev_check_init(&wake, on_wake);
 	wake.data = m;
 	ev_check_start(evloop->loop, &wake);
--- a/src/mesh_int.h
+++ b/src/mesh_int.h
@@ -29,15 +29,15 @@
 	lw_link_t *link; /* current connection */
 	uint32_t id; /* stream id on that connection */
 	lw_stream_origin_t origin;
-	uint64_t open_at; /* outgoing: queued_total of its first connection when it was sent */
+	uint64_t open_offset; /* outgoing: queued_total of its first connection when it was sent */
 	bool received; /* outgoing: the peer confirmed that it has the request */
 	/* outgoing: name of the connection that carries the pending outcome query; 0: none */
 	uint64_t query_link;
 	uint64_t query_us; /* outgoing: time of the first outcome query, 0: none sent */
 	bool silence_reported; /* outgoing: its sink was informed that the peer is silent */
 	bool dead;
-	bool request_whole; /* incoming: the whole request body was received */
-	bool answering; /* incoming: a part of the response was sent */
+	bool request_complete; /* incoming: the whole request body was received */
+	bool response_started; /* incoming: a part of the response was sent */
 	uint64_t query_number; /* incoming: number of the newest outcome query about it */
 	/* incoming: local count of the last processed outcome query that named it */
 	uint64_t named_by;
@@ -112,7 +112,7 @@
 	/* id of the local backend server while its lease is expired; empty: not expired */
 	char lapsed_id[LW_NAME_MAX];
 	uint64_t lapsed_born_ms;
-	ev_timer watch; /* active while requests are in flight */
+	ev_timer watch_timer; /* active while requests are in flight */
 	lw_docfetch_t fetch[LW_MESH_DOCUMENTS];
 	lw_link_t *dirty;
 	uint64_t config_us; /* when the configuration version in config_seen was first seen */
--- a/src/meshcall.c
+++ b/src/meshcall.c
@@ -183,7 +183,7 @@
 	if (s->dead)
 		return;
 	send_answer(s->link, s->id, a, body, fin, load);
-	s->answering = true;
+	s->response_started = true;
 	if (!fin)
 		return;
 	lw_meshoutcomes_add_answer(&m->outcomes, &s->origin, a, body, m->evloop->now_us);
@@ -298,7 +298,7 @@
 		return;
 	s = xcalloc(1, sizeof(*s));
 	s->as_sink.ops = &sink_ops;
-	s->request_whole = o->fin;
+	s->request_complete = o->fin;
 	lw_stream_add(s, l, o->stream);
 	s->job = lw_gate_submit(l->mesh->gate, &s->as_sink, &ask, lw_meshframe_str(o->body), o->fin,
 				&why, &retry_after_ms);
@@ -340,7 +340,7 @@
 	if (!s)
 		return;
 	if (s->job) {
-		s->request_whole |= d->fin;
+		s->request_complete |= d->fin;
 		s->job->ops->body(s->job, data, d->fin);
 		return;
 	}
@@ -410,10 +410,10 @@
 	s = xcalloc(1, sizeof(*s));
 	s->call.ops = &call_ops;
 	s->call.sink = sink;
-	s->open_at = l->queued_total;
+	s->open_offset = l->queued_total;
 	lw_stream_add(s, l, l->next_id++);
-	if (!ev_is_active(&m->watch))
-		ev_timer_again(m->evloop->loop, &m->watch);
+	if (!ev_is_active(&m->watch_timer))
+		ev_timer_again(m->evloop->loop, &m->watch_timer);
 	o.stream = s->id;
 	o.deadline_ms = ask->deadline_ms;
 	o.queue_ms = ask->queue_ms;
--- a/src/meshdocs.c
+++ b/src/meshdocs.c
@@ -20,22 +20,22 @@
 	return lw_revdoc_version(m->ops->document(m->ctx, kind));
 }
 
-static void send_fetch(lw_link_t *l, Lw__DocumentKind kind, const lw_docfetch_request_t *ask)
+static void send_fetch(lw_link_t *l, Lw__DocumentKind kind, const lw_docfetch_request_t *request)
 {
 	size_t before = lw_bytebuf_len(&l->out);
 
-	lw_meshframe_append_fetch(&l->out, kind, ask);
+	lw_meshframe_append_fetch(&l->out, kind, request);
 	lw_link_frame_queued(l, before, LW__MESH_FRAME__BODY_FETCH);
 }
 
 static void start_fetch(lw_link_t *l, Lw__DocumentKind kind)
 {
 	lw_mesh_t *m = l->mesh;
-	lw_docfetch_request_t ask;
+	lw_docfetch_request_t request;
 
 	lw_docfetch_start(&m->fetch[kind], l, m->ops->document(m->ctx, kind), m->evloop->now_us,
-			  &ask);
-	send_fetch(l, kind, &ask);
+			  &request);
+	send_fetch(l, kind, &request);
 }
 
 static bool has_newer(const lw_link_t *l, Lw__DocumentKind kind)
@@ -95,12 +95,12 @@
 void lw_mesh_on_fetch(lw_link_t *l, const Lw__Fetch *w)
 {
 	lw_mesh_t *m = l->mesh;
-	lw_docfetch_request_t ask = lw_meshframe_read_fetch(w);
+	lw_docfetch_request_t request = lw_meshframe_read_fetch(w);
 	size_t before = lw_bytebuf_len(&l->out);
 	lw_docfetch_piece_t piece;
 
 	if (!known_kind(w->kind) ||
-	    !lw_docfetch_piece(m->ops->document(m->ctx, w->kind), &ask, &piece))
+	    !lw_docfetch_piece(m->ops->document(m->ctx, w->kind), &request, &piece))
 		return;
 	lw_meshframe_append_piece(&l->out, w->kind, &piece);
 	lw_link_frame_queued(l, before, LW__MESH_FRAME__BODY_PIECE);
@@ -124,15 +124,15 @@
 {
 	lw_mesh_t *m = l->mesh;
 	lw_docfetch_piece_t piece = lw_meshframe_read_piece(w);
-	lw_docfetch_request_t ask;
+	lw_docfetch_request_t request;
 	char *bytes;
 
 	if (!known_kind(w->kind))
 		return;
 	switch (lw_docfetch_receive(&m->fetch[w->kind], l, m->ops->document(m->ctx, w->kind),
-				    &piece, m->evloop->now_us, &ask, &bytes)) {
+				    &piece, m->evloop->now_us, &request, &bytes)) {
 	case LW_DOCFETCH_MORE:
-		send_fetch(l, w->kind, &ask);
+		send_fetch(l, w->kind, &request);
 		break;
 	case LW_DOCFETCH_DONE:
 		apply_document(m, w->kind, piece.of.version, (lw_str_t){ bytes, piece.of.length });
--- a/src/meshframe.c
+++ b/src/meshframe.c
@@ -299,15 +299,15 @@
 
 /* lw_meshframe_append_fetch() - encodes a request for a chunk of a document. */
 void lw_meshframe_append_fetch(lw_bytebuf_t *out, Lw__DocumentKind kind,
-			       const lw_docfetch_request_t *ask)
+			       const lw_docfetch_request_t *request)
 {
 	Lw__Fetch w = LW__FETCH__INIT;
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
 
 	w.kind = kind;
-	w.version = ask->version;
-	w.against = ask->base;
-	w.offset = (uint32_t)ask->offset;
+	w.version = request->version;
+	w.against = request->base;
+	w.offset = (uint32_t)request->offset;
 	f.body_case = LW__MESH_FRAME__BODY_FETCH;
 	f.fetch = &w;
 	lw_meshframe_append(out, &f);
--- a/src/meshframe.h
+++ b/src/meshframe.h
@@ -38,7 +38,7 @@
 void lw_meshframe_pack_servers(lw_bytebuf_t *out, const lw_serverlist_t *sl);
 lw_status_t lw_meshframe_unpack_servers(lw_str_t bytes, uint64_t revision, lw_serverlist_t **out);
 void lw_meshframe_append_fetch(lw_bytebuf_t *out, Lw__DocumentKind kind,
-			       const lw_docfetch_request_t *ask);
+			       const lw_docfetch_request_t *request);
 void lw_meshframe_append_piece(lw_bytebuf_t *out, Lw__DocumentKind kind,
 			       const lw_docfetch_piece_t *piece);
 lw_docfetch_request_t lw_meshframe_read_fetch(const Lw__Fetch *in);
--- a/src/meshlink.c
+++ b/src/meshlink.c
@@ -14,7 +14,10 @@
 
 static void link_close(lw_link_t *l);
 
-/* lw_link_handshake_done() - returns true if the peer process has sent its first frame. */
+/*
+ * lw_link_handshake_done() - returns true if the peer process has sent its first frame on a
+ * connection opened here; always true for incoming connections.
+ */
 bool lw_link_handshake_done(const lw_link_t *l)
 {
 	return !l->outgoing || l->peer_incarnation;
--- a/src/meshquota.c
+++ b/src/meshquota.c
@@ -15,7 +15,7 @@
 static Lw__QuotaTerm term_wire[ENTRIES_MAX];
 static Lw__QuotaTerm *term_list[ENTRIES_MAX];
 
-static size_t bounded(size_t n)
+static size_t limit_entries(size_t n)
 {
 	return n < ENTRIES_MAX ? n : ENTRIES_MAX;
 }
@@ -40,7 +40,7 @@
 	if (!l || !l->peer_incarnation)
 		return false;
 	w.uses = use_list;
-	w.n_uses = bounded(n);
+	w.n_uses = limit_entries(n);
 	w.number = number;
 	w.node = node;
 	for (size_t i = 0; i < w.n_uses; i++) {
@@ -83,7 +83,7 @@
 void lw_mesh_on_quota_report(lw_link_t *l, const Lw__QuotaReport *w)
 {
 	lw_mesh_t *m = l->mesh;
-	size_t n = bounded(w->n_uses);
+	size_t n = limit_entries(w->n_uses);
 
 	for (size_t i = 0; i < n; i++)
 		uses_in[i] = (lw_quota_use_t){ w->uses[i]->org, w->uses[i]->asked,
@@ -96,7 +96,7 @@
 void lw_mesh_on_quota_terms(lw_link_t *l, const Lw__QuotaTerms *w)
 {
 	lw_mesh_t *m = l->mesh;
-	size_t n = bounded(w->n_terms);
+	size_t n = limit_entries(w->n_terms);
 
 	for (size_t i = 0; i < n; i++)
 		terms_in[i] = (lw_quota_term_t){ w->terms[i]->org, w->terms[i]->admit_permille,
--- a/src/meshrecover.c
+++ b/src/meshrecover.c
@@ -25,7 +25,7 @@
  */
 bool lw_stream_unsent(const lw_stream_t *s)
 {
-	return !s->received && s->open_at >= s->link->written_total;
+	return !s->received && s->open_offset >= s->link->written_total;
 }
 
 /* lw_link_drop_streams() - ends every request on a closed connection and reports its outcome. */
@@ -88,7 +88,7 @@
 	return l->outgoing ? l->peer_incarnation != 0 : l->name != 0;
 }
 
-static void unlink_orphan(lw_link_t *l)
+static void remove_orphan(lw_link_t *l)
 {
 	lw_link_t **at = &l->mesh->orphans;
 
@@ -106,15 +106,15 @@
 	l->orphan_us = m->evloop->now_us;
 	l->next = m->orphans;
 	m->orphans = l;
-	if (!ev_is_active(&m->watch))
-		ev_timer_again(m->evloop->loop, &m->watch);
+	if (!ev_is_active(&m->watch_timer))
+		ev_timer_again(m->evloop->loop, &m->watch_timer);
 	if (l->outgoing)
 		lw_mesh_query_link(l);
 }
 
 static void end_orphan(lw_link_t *l)
 {
-	unlink_orphan(l);
+	remove_orphan(l);
 	lw_link_drop_streams(l);
 }
 
@@ -156,7 +156,7 @@
  */
 static bool can_move(const lw_stream_t *s)
 {
-	return s->job && s->request_whole && !s->answering;
+	return s->job && s->request_complete && !s->response_started;
 }
 
 /*
@@ -164,7 +164,7 @@
  * it is still known. A node of an older version identifies a moved stream by its id after
  * the move; such a stream did arrive and must not be sent elsewhere.
  */
-static bool never_came(const lw_mesh_t *m, uint64_t link, const lw_link_t *old, uint32_t id)
+static bool never_arrived(const lw_mesh_t *m, uint64_t link, const lw_link_t *old, uint32_t id)
 {
 	if (id >= LW_STREAM_MOVED_MIN)
 		return false;
@@ -191,7 +191,7 @@
 		return;
 	}
 	if (!s) {
-		if (never_came(m, q->link, old, id))
+		if (never_arrived(m, q->link, old, id))
 			fate->kind = LW__FATE_KIND__FATE_NEVER;
 		return;
 	}
--- a/src/meshsuspects.c
+++ b/src/meshsuspects.c
@@ -27,14 +27,14 @@
 	return at_us ? (uint32_t)((now_us - at_us) / 1000) + 1 : 0;
 }
 
-static uint64_t time_of(uint32_t age_ms, uint64_t now_us)
+static uint64_t time_from_age(uint32_t age_ms, uint64_t now_us)
 {
 	uint64_t age_us = age_ms ? (uint64_t)(age_ms - 1) * 1000 : 0;
 
 	return age_ms && age_us < now_us ? now_us - age_us : 0;
 }
 
-static void fill(Lw__Suspect *out, const lw_suspect_t *s, uint64_t now_us)
+static void encode_suspect(Lw__Suspect *out, const lw_suspect_t *s, uint64_t now_us)
 {
 	lw__suspect__init(out);
 	out->head = s->print.head;
@@ -48,14 +48,14 @@
 		out->held_ms = (uint32_t)((s->held_until_us - now_us) / 1000);
 }
 
-static lw_suspect_t read_suspect(const Lw__Suspect *in, uint64_t now_us)
+static lw_suspect_t decode_suspect(const Lw__Suspect *in, uint64_t now_us)
 {
 	uint32_t held_ms = in->held_ms < HELD_MAX_MS ? in->held_ms : HELD_MAX_MS;
 	lw_suspect_t s = {
 		.print = { in->head, in->whole },
 		.trials = in->trials < TRIALS_MAX ? in->trials : TRIALS_MAX,
-		.ended_us = time_of(in->ended_age_ms, now_us),
-		.cleared_us = time_of(in->cleared_age_ms, now_us),
+		.ended_us = time_from_age(in->ended_age_ms, now_us),
+		.cleared_us = time_from_age(in->cleared_age_ms, now_us),
 		.held_until_us = held_ms ? now_us + (uint64_t)held_ms * 1000 : 0,
 	};
 
@@ -73,7 +73,7 @@
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
 
 	for (size_t i = 0; i < n; i++) {
-		fill(&frame.wire[i], suspects[i], l->mesh->evloop->now_us);
+		encode_suspect(&frame.wire[i], suspects[i], l->mesh->evloop->now_us);
 		frame.list[i] = &frame.wire[i];
 	}
 	w.n_suspects = n;
@@ -136,7 +136,7 @@
 			lw_link_send(l, &f);
 }
 
-static void send_one(lw_link_t *l, const void *ctx)
+static void send_suspect(lw_link_t *l, const void *ctx)
 {
 	const lw_suspect_t *s = ctx;
 
@@ -148,7 +148,7 @@
 	const lw_suspect_t *news = m->ops->suspect_received(m->ctx, told);
 
 	if (news)
-		lw_mesh_each_random(m, FORWARD_NODES, send_one, news);
+		lw_mesh_each_random(m, FORWARD_NODES, send_suspect, news);
 }
 
 static void apply_crash(lw_mesh_t *m, const Lw__ServerEnded *w)
@@ -169,7 +169,7 @@
 	if (w->ended)
 		apply_crash(m, w->ended);
 	for (size_t i = 0; i < w->n_suspects && i < SUSPECTS_MAX; i++) {
-		lw_suspect_t s = read_suspect(w->suspects[i], m->evloop->now_us);
+		lw_suspect_t s = decode_suspect(w->suspects[i], m->evloop->now_us);
 
 		apply_suspect(m, &s);
 	}
--- a/src/outbound.c
+++ b/src/outbound.c
@@ -48,7 +48,7 @@
 	ev->retries_used = r->retries_used;
 }
 
-static lw_answer_t *take_body(ProtobufCBinaryData *body, uint32_t status, uint32_t retries_used)
+static lw_answer_t *copy_answer(ProtobufCBinaryData *body, uint32_t status, uint32_t retries_used)
 {
 	char *copy = xstrndup(body->data ? (const char *)body->data : "", body->len);
 
@@ -93,8 +93,8 @@
 	lw_confwatch_peer_has(n, to->addr, reply->reply->config_version);
 	if (ev->outcome == LW_DONE) {
 		lw_answer_unref(*answer);
-		*answer = take_body(&reply->reply->body, reply->reply->status,
-				    reply->reply->retries_used);
+		*answer = copy_answer(&reply->reply->body, reply->reply->status,
+				      reply->reply->retries_used);
 	}
 	lw_frame_free(reply);
 }
@@ -167,7 +167,8 @@
 	lw_counter_add(n->count.outbound[res->outcome], 1);
 }
 
-static bool ask_record(lw_node_t *n, const char *addr, const lw_request_t *rq, lw_answer_t **answer)
+static bool query_record(lw_node_t *n, const char *addr, const lw_request_t *rq,
+			 lw_answer_t **answer)
 {
 	Lw__Frame f = LW__FRAME__INIT;
 	Lw__Query q = LW__QUERY__INIT;
@@ -182,8 +183,8 @@
 		return false;
 	found = reply->body_case == LW__FRAME__BODY_RECORD && reply->record->has_answer;
 	if (found)
-		*answer = take_body(&reply->record->body, reply->record->status,
-				    reply->record->retries_used);
+		*answer = copy_answer(&reply->record->body, reply->record->status,
+				      reply->record->retries_used);
 	lw_frame_free(reply);
 	return found;
 }
@@ -221,7 +222,7 @@
 	bool found = false;
 
 	for (size_t i = 0; i < count && !found && lw_now_ms() < until; i++)
-		found = ask_record(n, addrs[i], rq, answer);
+		found = query_record(n, addrs[i], rq, answer);
 	free(addrs);
 	return found;
 }
--- a/src/peersrv.c
+++ b/src/peersrv.c
@@ -22,7 +22,7 @@
 	int fd;
 } conn_t;
 
-static void note_caller(lw_node_t *n, const char *addr)
+static void record_caller(lw_node_t *n, const char *addr)
 {
 	lw_caller_t *c = NULL;
 
@@ -73,7 +73,7 @@
 	rcu_read_unlock();
 	if (!st) {
 		rq.deadline_ms -= paused < rq.deadline_ms ? paused : rq.deadline_ms;
-		note_caller(n, r->sender);
+		record_caller(n, r->sender);
 		lw_confwatch_peer_has(n, r->sender, r->config_version);
 		lw_inbound_serve(n, &rq, &res);
 	}
--- a/src/proxystop.c
+++ b/src/proxystop.c
@@ -55,9 +55,9 @@
 	lw_stopplan_t plan = lw_stopplan(&state);
 
 	(void)revents;
-	if (plan.tell_peers && !p->evloop.peers_told) {
+	if (plan.tell_peers && !p->evloop.peers_notified) {
 		log_step(p, "peers_told", &state);
-		p->evloop.peers_told = true;
+		p->evloop.peers_notified = true;
 		lw_mesh_broadcast_status(p->engine.mesh);
 	}
 	if (plan.close_idle)
