--- a/src/frame.c
+++ b/src/frame.c
@@ -39,7 +39,7 @@
 	*out = NULL;
 	if (len > LW_FRAME_MAX)
 		return lw_error(LW_ERR_PROTO,
-				"frame of %zu bytes is over the limit; check the peer's version",
+				"frame of %zu bytes exceeds the limit; check the peer's version",
 				len);
 	f = lw__frame__unpack(NULL, len, buf);
 	if (!f)
@@ -96,7 +96,7 @@
 		if (r > 0)
 			return LW_OK;
 		if (r == 0)
-			return lw_error(LW_ERR_TIMEOUT, "peer sent nothing in time");
+			return lw_error(LW_ERR_TIMEOUT, "peer sent no data before the timeout");
 		if (errno != EINTR)
 			return lw_error(LW_ERR_IO, "poll failed: %s", strerror(errno));
 	}
@@ -133,7 +133,7 @@
 	n = (uint32_t)hdr[0] << 24 | (uint32_t)hdr[1] << 16 | (uint32_t)hdr[2] << 8 | hdr[3];
 	if (n > LW_FRAME_MAX)
 		return lw_error(LW_ERR_PROTO,
-				"frame length %u is over the limit; check the peer's version", n);
+				"frame length %u exceeds the limit; check the peer's version", n);
 	body = xmalloc(n);
 	st = read_all(fd, body, n, until_ms);
 	if (!st)
@@ -161,6 +161,6 @@
 		return st;
 	st = read_started(fd, lw_now_ms() + (uint64_t)frame_ms, out);
 	if (st == LW_ERR_TIMEOUT)
-		return lw_error(LW_ERR_IO, "peer stopped in the middle of a frame");
+		return lw_error(LW_ERR_IO, "peer sent an incomplete frame before the timeout");
 	return st;
 }
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -15,7 +15,7 @@
 #define IDLE_PROBE_US 2000000
 /*
  * A connection on which the peer has not sent its first frame after this time has failed,
- * in us. Requests that wait for it keep their original deadline.
+ * in us. Requests held back meanwhile carry the time that was left when they were queued.
  */
 #define HANDSHAKE_TIMEOUT_US 400000
 
@@ -212,7 +212,7 @@
 	lw_mesh_fetch_any(m);
 }
 
-/* after a suspend of this host: the data in the buffers is older by that time */
+/* after a suspend of this host: the data in the buffers is older by the length of the suspend */
 static void adjust_for_suspension(lw_mesh_t *m)
 {
 	for (lw_link_t *l = m->links; l; l = l->next) {
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -64,7 +64,7 @@
 	 * another node reported what it knows of a suspect request; returns the record to
 	 * forward to other nodes at once, or NULL
 	 */
-	const lw_suspect_t *(*suspect_received)(void *ctx, const lw_suspect_t *told);
+	const lw_suspect_t *(*suspect_received)(void *ctx, const lw_suspect_t *report);
 	/*
 	 * usage report of the node with digest @node; fills @out with at most @most answers
 	 * and returns their number
--- a/src/meshdocs.c
+++ b/src/meshdocs.c
@@ -60,8 +60,8 @@
 
 /*
  * lw_mesh_fetch_any() - fetches newer documents from any node, if possible not from the
- * previous source. Covers the case that the nodes which notify this one have no news
- * themselves, or that their notification was lost.
+ * previous source. Needed if the nodes that notify this one have no newer version
+ * themselves, or if their notification was lost.
  */
 void lw_mesh_fetch_any(lw_mesh_t *m)
 {
--- a/src/meshframe.c
+++ b/src/meshframe.c
@@ -159,17 +159,17 @@
 	}
 }
 
-/* lw_meshframe_add_levels() - adds the first @n thresholds in out->heard to the load part. */
+/* lw_meshframe_add_levels() - adds the first @n thresholds in out->levels to the load part. */
 void lw_meshframe_add_levels(lw_meshframe_load_t *out, uint32_t n)
 {
 	out->load.n_heard = n;
-	out->load.heard = out->heard_list;
+	out->load.heard = out->levels_list;
 	for (uint32_t i = 0; i < n; i++) {
-		lw__heard__init(&out->heard_wire[i]);
-		out->heard_wire[i].service = out->heard[i].service;
-		out->heard_wire[i].level = out->heard[i].level;
-		out->heard_wire[i].age_ms = out->heard[i].age_ms;
-		out->heard_list[i] = &out->heard_wire[i];
+		lw__heard__init(&out->levels_wire[i]);
+		out->levels_wire[i].service = out->levels[i].service;
+		out->levels_wire[i].level = out->levels[i].level;
+		out->levels_wire[i].age_ms = out->levels[i].age_ms;
+		out->levels_list[i] = &out->levels_wire[i];
 	}
 }
 
--- a/src/meshframe.h
+++ b/src/meshframe.h
@@ -23,9 +23,9 @@
 	Lw__Load load;
 	Lw__Hot hot[LW_HOTS_MAX];
 	Lw__Hot *list[LW_HOTS_MAX];
-	lw_heard_t heard[LW_MESHFRAME_LEVELS_MAX];
-	Lw__Heard heard_wire[LW_MESHFRAME_LEVELS_MAX];
-	Lw__Heard *heard_list[LW_MESHFRAME_LEVELS_MAX];
+	lw_heard_t levels[LW_MESHFRAME_LEVELS_MAX];
+	Lw__Heard levels_wire[LW_MESHFRAME_LEVELS_MAX];
+	Lw__Heard *levels_list[LW_MESHFRAME_LEVELS_MAX];
 	Lw__Notice notice;
 } lw_meshframe_load_t;
 
--- a/src/meshrecover.c
+++ b/src/meshrecover.c
@@ -161,8 +161,8 @@
 
 /*
  * Returns true if request @id of connection @link never arrived. @old is that connection if
- * it is still known. A node of an older version identifies a moved stream by its id after
- * the move; such a stream did arrive and must not be sent elsewhere.
+ * it is still known. A node of an older version names a moved stream by its id on @link
+ * (LW_STREAM_MOVED_MIN or above); such a stream did arrive and must not be sent elsewhere.
  */
 static bool never_arrived(const lw_mesh_t *m, uint64_t link, const lw_link_t *old, uint32_t id)
 {
--- a/src/meshstatus.c
+++ b/src/meshstatus.c
@@ -24,17 +24,17 @@
 		return;
 	l->levels_us = m->evloop->now_us;
 	lw_meshframe_add_levels(out,
-				m->ops->known_levels(m->ctx, out->heard, LW_MESHFRAME_LEVELS_MAX));
+				m->ops->known_levels(m->ctx, out->levels, LW_MESHFRAME_LEVELS_MAX));
 }
 
 /* lw_mesh_read_levels() - processes the admission thresholds in the load part of a frame. */
 void lw_mesh_read_levels(lw_link_t *l, const Lw__Load *load)
 {
 	for (size_t i = 0; load && i < load->n_heard; i++) {
-		lw_heard_t heard;
+		lw_heard_t level;
 
-		lw_meshframe_read_level(load->heard[i], &heard);
-		l->mesh->ops->level_received(l->mesh->ctx, &heard);
+		lw_meshframe_read_level(load->heard[i], &level);
+		l->mesh->ops->level_received(l->mesh->ctx, &level);
 	}
 }
 
--- a/src/meshsuspects.c
+++ b/src/meshsuspects.c
@@ -143,12 +143,12 @@
 	send_suspects(l, &s, 1);
 }
 
-static void apply_suspect(lw_mesh_t *m, const lw_suspect_t *told)
+static void apply_suspect(lw_mesh_t *m, const lw_suspect_t *report)
 {
-	const lw_suspect_t *news = m->ops->suspect_received(m->ctx, told);
+	const lw_suspect_t *to_forward = m->ops->suspect_received(m->ctx, report);
 
-	if (news)
-		lw_mesh_each_random(m, FORWARD_NODES, send_suspect, news);
+	if (to_forward)
+		lw_mesh_each_random(m, FORWARD_NODES, send_suspect, to_forward);
 }
 
 static void apply_crash(lw_mesh_t *m, const Lw__ServerEnded *w)
