--- a/src/confwatch.c
+++ b/src/confwatch.c
@@ -28,7 +28,7 @@
  * older or equal version (a stale or lagging service, a peer that has not
  * heard yet) must never make a node go back. Takes ownership of @pc.
  */
-static void offer(lw_node_t *n, lw_platconf_t *pc, const char *source)
+static void apply_if_newer(lw_node_t *n, lw_platconf_t *pc, const char *source)
 {
 	lw_event_t ev = { .kind = LW_EV_CONFIG, .config = pc };
 	lw_platconf_t *old;
@@ -57,14 +57,14 @@
 	lw_platconf_free(old);
 }
 
-static void offer_text(lw_node_t *n, const char *text, size_t len, const char *source)
+static void apply_text(lw_node_t *n, const char *text, size_t len, const char *source)
 {
 	lw_platconf_t *pc;
 
 	if (lw_platconf_parse(text, len, &pc))
 		lw_log(LW_LOG_config_rejected, "source=%s why=\"%s\"", source, lw_error_last());
 	else
-		offer(n, pc, source);
+		apply_if_newer(n, pc, source);
 }
 
 typedef struct watch {
@@ -100,7 +100,7 @@
 		w->retry_ms = RETRY_MIN_MS;
 		/* the same index: the watch ended with no change */
 		if (!r.index[0] || strcmp(r.index, w->index) != 0)
-			offer_text(n, r.body ? r.body : "", r.len, "config_service");
+			apply_text(n, r.body ? r.body : "", r.len, "config_service");
 		snprintf(w->index, sizeof(w->index), "%s", r.index[0] ? r.index : "0");
 	}
 	free(r.body);
@@ -150,7 +150,7 @@
 		lw_counter_add(n->count.config_fetches, 1);
 		lw_log(LW_LOG_config_from_peer, "peer=%s version=%" PRIu64, addr, rep->version);
 		if (XXH64(rep->text.data, rep->text.len, 0) == rep->hash)
-			offer_text(n, (const char *)rep->text.data, rep->text.len, "peer");
+			apply_text(n, (const char *)rep->text.data, rep->text.len, "peer");
 		else
 			lw_log(LW_LOG_config_rejected, "source=peer why=\"hash differs\"");
 	}
--- a/src/explain.c
+++ b/src/explain.c
@@ -17,7 +17,7 @@
 static const struct {
 	const char *why;
 	const char *meaning;
-	const char *look;
+	const char *next_step;
 } reasons[] = {
 	{ "path_busy", "a service its work leads to is over capacity; refused where it began",
 	  "lw_gate_level and lw_gate_queued on the nodes of the service named by 'by'" },
@@ -101,7 +101,7 @@
 }
 
 /* whether @id is the request or a call for it; ids of calls extend its id by a dot and more */
-static bool belongs(const char *id, const char *root, uint32_t *depth)
+static bool is_part_of(const char *id, const char *root, uint32_t *depth)
 {
 	size_t n = strlen(root);
 
@@ -142,7 +142,7 @@
 		return;
 	if (strncmp(name + 1, "log_dropped", 11) == 0)
 		e->dropped += number(fields, "lines");
-	if (!field(fields, "id", id, sizeof(id)) || !belongs(id, e->id, &depth))
+	if (!field(fields, "id", id, sizeof(id)) || !is_part_of(id, e->id, &depth))
 		return;
 	l = new_line(e);
 	l->at_ms = stamp_ms(stamp + 1);
@@ -155,7 +155,7 @@
 }
 
 /* of events in the same millisecond: what the end of a call leads to follows it */
-static int order_of(const lw_explain_line_t *l)
+static int tie_order(const lw_explain_line_t *l)
 {
 	static const char *const order[] = { "path_busy", "call_ended", "request_retried",
 					     "request_ended" };
@@ -174,8 +174,8 @@
 		return x->at_ms < y->at_ms ? -1 : 1;
 	if (x->depth != y->depth)
 		return x->depth > y->depth ? -1 : 1;
-	if (order_of(x) != order_of(y))
-		return order_of(x) - order_of(y);
+	if (tie_order(x) != tie_order(y))
+		return tie_order(x) - tie_order(y);
 	return x->seq < y->seq ? -1 : x->seq > y->seq;
 }
 
@@ -224,7 +224,7 @@
 }
 
 /* what the caller may rely on, from the status of the request itself */
-static const char *promise(const lw_explain_t *e)
+static const char *outcome_text(const lw_explain_t *e)
 {
 	for (size_t i = e->nlines; i-- > 0;) {
 		const lw_explain_line_t *l = &e->lines[i];
@@ -258,8 +258,8 @@
 			cause->depth ? "a call," : "the request itself,", cause->depth, service);
 	if (reason >= 0)
 		fprintf(out, "cause: %s: %s\nlook at: %s\n", reasons[reason].why,
-			reasons[reason].meaning, reasons[reason].look);
-	fprintf(out, "outcome: %s\n", promise(e));
+			reasons[reason].meaning, reasons[reason].next_step);
+	fprintf(out, "outcome: %s\n", outcome_text(e));
 	if (e->dropped)
 		fprintf(out,
 			"note: these nodes left out %" PRIu64
@@ -284,8 +284,8 @@
 	for (size_t i = 0; i < e->nlines; i++)
 		json_array_append_new(lines, line_json(&e->lines[i]));
 	doc = json_pack("{s:s, s:o, s:s, s:s, s:I}", "id", e->id, "lines", lines, "cause",
-			reason >= 0 ? reasons[reason].why : "", "outcome", promise(e), "dropped",
-			(json_int_t)e->dropped);
+			reason >= 0 ? reasons[reason].why : "", "outcome", outcome_text(e),
+			"dropped", (json_int_t)e->dropped);
 	json_dumpf(doc, out, JSON_INDENT(1));
 	fputc('\n', out);
 	json_decref(doc);
--- a/src/feed.c
+++ b/src/feed.c
@@ -12,7 +12,7 @@
 #define OUTAGE_OVER_US 2100000
 
 /* lw_feed_init() - the store is wanted at first. */
-void lw_feed_init(lw_feed_t *f, const lw_proxyset_t *set)
+void lw_feed_init(lw_feed_t *f, const lw_proxy_settings_t *set)
 {
 	pthread_condattr_t steady;
 
--- a/src/feed.h
+++ b/src/feed.h
@@ -32,7 +32,7 @@
 } lw_feed_stats_t;
 
 typedef struct lw_feed {
-	const lw_proxyset_t *set;
+	const lw_proxy_settings_t *set;
 	lw_mailbox_t conf; /* lw_fleetconf_t */
 	lw_mailbox_t servers; /* lw_serverlist_t */
 	lw_mailbox_t
@@ -63,7 +63,7 @@
 	lw_status_t (*parse_config)(const char *text, size_t len, lw_fleetconf_t **out);
 } lw_platform_t;
 
-void lw_feed_init(lw_feed_t *f, const lw_proxyset_t *set);
+void lw_feed_init(lw_feed_t *f, const lw_proxy_settings_t *set);
 const char *lw_feed_why_name(lw_feed_why_t why);
 bool lw_feed_rests(const lw_feed_t *f);
 void lw_feed_want(lw_feed_t *f, lw_feed_why_t why);
--- a/src/fleetconf.c
+++ b/src/fleetconf.c
@@ -29,7 +29,7 @@
 	free(fc->routes);
 	free(fc->services);
 	lw_orgs_free(fc->orgs);
-	free(fc->urgencies);
+	free(fc->priorities);
 	free(fc->text);
 	free(fc);
 }
@@ -125,32 +125,32 @@
 	return kept;
 }
 
-static void collect_urgencies(lw_fleetconf_t *fc)
+static void collect_priorities(lw_fleetconf_t *fc)
 {
 	size_t norgs = lw_orgs_count(fc->orgs);
 	uint32_t *routes;
 
-	fc->urgencies = xcalloc(norgs + fc->nroutes + 1, sizeof(uint32_t));
+	fc->priorities = xcalloc(norgs + fc->nroutes + 1, sizeof(uint32_t));
 	for (size_t i = 0; i < norgs; i++)
-		fc->urgencies[i] = lw_orgs_at(fc->orgs, i)->priority;
-	fc->norg_urgencies = sort_distinct(fc->urgencies, norgs);
-	routes = fc->urgencies + fc->norg_urgencies;
+		fc->priorities[i] = lw_orgs_at(fc->orgs, i)->priority;
+	fc->norg_priorities = sort_distinct(fc->priorities, norgs);
+	routes = fc->priorities + fc->norg_priorities;
 	for (size_t i = 0; i < fc->nroutes; i++)
 		routes[i] = fc->routes[i].priority;
-	fc->nroute_urgencies = sort_distinct(routes, fc->nroutes);
+	fc->nroute_priorities = sort_distinct(routes, fc->nroutes);
 }
 
 /* lw_fleetconf_seal() - sort what was added; call once after the last route and organisation. */
-void lw_fleetconf_seal(lw_fleetconf_t *fc)
+void lw_fleetconf_finish(lw_fleetconf_t *fc)
 {
 	if (fc->nroutes)
 		qsort(fc->routes, fc->nroutes, sizeof(*fc->routes), route_cmp);
 	if (fc->orgs)
-		collect_urgencies(fc);
+		collect_priorities(fc);
 }
 
 /* the place of the first value that is not below @value; of the last one if all are */
-static size_t place_among(const uint32_t *v, size_t n, uint32_t value)
+static size_t index_among(const uint32_t *v, size_t n, uint32_t value)
 {
 	size_t i = 0;
 
@@ -160,10 +160,10 @@
 }
 
 /* the places of an organisation's and a route's priority as one number */
-static uint32_t joined(const lw_fleetconf_t *fc, size_t org_place, size_t route_place)
+static uint32_t combined_priority(const lw_fleetconf_t *fc, size_t org_place, size_t route_place)
 {
-	size_t all = fc->norg_urgencies * fc->nroute_urgencies;
-	size_t at = org_place * fc->nroute_urgencies + route_place;
+	size_t all = fc->norg_priorities * fc->nroute_priorities;
+	size_t at = org_place * fc->nroute_priorities + route_place;
 
 	return (uint32_t)(all > LW_PRIORITIES_MAX ? at * LW_PRIORITIES_MAX / all : at);
 }
@@ -179,11 +179,11 @@
 {
 	uint32_t of_org = org ? org->priority : LW_ORG_PRIORITY_DEFAULT;
 
-	if (!fc->norg_urgencies)
+	if (!fc->norg_priorities)
 		return r->priority;
-	return joined(
-		fc, place_among(fc->urgencies, fc->norg_urgencies, of_org),
-		place_among(fc->urgencies + fc->norg_urgencies, fc->nroute_urgencies, r->priority));
+	return combined_priority(fc, index_among(fc->priorities, fc->norg_priorities, of_org),
+				 index_among(fc->priorities + fc->norg_priorities,
+					     fc->nroute_priorities, r->priority));
 }
 
 /*
@@ -192,10 +192,10 @@
  */
 bool lw_fleetconf_most_urgent(const lw_fleetconf_t *fc, uint32_t priority)
 {
-	for (size_t i = 0; i < fc->norg_urgencies; i++)
-		if (joined(fc, i, 0) == priority)
+	for (size_t i = 0; i < fc->norg_priorities; i++)
+		if (combined_priority(fc, i, 0) == priority)
 			return true;
-	return !fc->norg_urgencies && priority == 0;
+	return !fc->norg_priorities && priority == 0;
 }
 
 static lw_fleet_route_t *route_find(const lw_fleetconf_t *fc, const char *key, size_t len)
--- a/src/fleetconf.h
+++ b/src/fleetconf.h
@@ -58,9 +58,9 @@
 	lw_fleet_service_t *services;
 	size_t nservices;
 	lw_orgs_t *orgs; /* NULL: requests carry no keys */
-	uint32_t *urgencies; /* priorities of organisations, in order; then those of routes */
-	size_t norg_urgencies;
-	size_t nroute_urgencies;
+	uint32_t *priorities; /* priorities of organisations, in order; then those of routes */
+	size_t norg_priorities;
+	size_t nroute_priorities;
 	char *text; /* the document as published, for other nodes */
 	size_t textlen;
 } lw_fleetconf_t;
@@ -89,7 +89,7 @@
 void lw_fleet_route_split(lw_fleet_route_t *r, lw_str_t service, uint32_t weight);
 void lw_fleetconf_add_service(lw_fleetconf_t *fc, lw_str_t name, lw_str_t health);
 const lw_fleet_service_t *lw_fleetconf_service(const lw_fleetconf_t *fc, const char *name);
-void lw_fleetconf_seal(lw_fleetconf_t *fc);
+void lw_fleetconf_finish(lw_fleetconf_t *fc);
 uint32_t lw_fleetconf_priority(const lw_fleetconf_t *fc, const lw_organisation_t *org,
 			       const lw_fleet_route_t *r);
 bool lw_fleetconf_most_urgent(const lw_fleetconf_t *fc, uint32_t priority);
--- a/src/gatejob.c
+++ b/src/gatejob.c
@@ -156,7 +156,7 @@
 	lw_job_t *j = user;
 	lw_gate_t *g = j->gate;
 	lw_str_t id = lw_httphead_find(h, LW_HEADER_REQUEST_ID);
-	bool not_run = lw_httphead_find(h, LW_HEADER_NOT_RUN).ptr || h->status == 421;
+	bool not_run = lw_httphead_find(h, LW_HEADER_NOT_EXECUTED).ptr || h->status == 421;
 
 	lw_gate_learn_load(g, lw_httphead_find(h, LW_HEADER_LOAD));
 	if (j->request_id[0] && !lw_str_eq_c(id, j->request_id) && !(not_run && !id.ptr)) {
--- a/src/hub.c
+++ b/src/hub.c
@@ -70,7 +70,8 @@
 }
 
 /* lw_hub_init() - prepare the loop; @seed starts the random numbers. */
-void lw_hub_init(lw_hub_t *h, const lw_proxyset_t *set, const lw_wirenames_t *names, uint64_t seed)
+void lw_hub_init(lw_hub_t *h, const lw_proxy_settings_t *set, const lw_wirenames_t *names,
+		 uint64_t seed)
 {
 	memset(h, 0, sizeof(*h));
 	h->loop = ev_default_loop(EVBACKEND_EPOLL);
--- a/src/hub.h
+++ b/src/hub.h
@@ -25,7 +25,7 @@
 
 typedef struct lw_hub {
 	struct ev_loop *loop;
-	const lw_proxyset_t *set;
+	const lw_proxy_settings_t *set;
 	const lw_wirenames_t *names;
 	uint64_t now_us; /* boot time at the start of this turn of the loop */
 	uint64_t slept_us; /* how long the host or process stood still before this turn */
@@ -51,7 +51,8 @@
 /* Period of the tick that parts subscribe to, in seconds. */
 #define LW_HUB_TICK_S 0.5
 
-void lw_hub_init(lw_hub_t *h, const lw_proxyset_t *set, const lw_wirenames_t *names, uint64_t seed);
+void lw_hub_init(lw_hub_t *h, const lw_proxy_settings_t *set, const lw_wirenames_t *names,
+		 uint64_t seed);
 void lw_hub_on_tick(lw_hub_t *h, lw_hub_fn fn, void *ctx);
 void lw_hub_on_flush(lw_hub_t *h, lw_hub_fn fn, void *ctx);
 void lw_hub_free_later(lw_hub_t *h, void *ptr);
--- a/src/log.c
+++ b/src/log.c
@@ -61,7 +61,7 @@
 }
 
 /* bytes of lines that wait for the writer; about a thousand lines */
-#define RING_BYTES 131072
+#define OUTPUT_BUFFER_BYTES 131072
 /* the writer gathers lines for so long before it writes, ms: one call for many */
 #define GATHER_MS 50
 /*
@@ -71,7 +71,7 @@
  */
 #define REQUEST_BURST_S 3
 /* how often it is told that lines were left out, us */
-#define TELL_EVERY_US 1000000
+#define DROPPED_REPORT_US 1000000
 /* events about single requests have these numbers */
 #define REQUEST_EVENT_FIRST 1300
 #define REQUEST_EVENT_LAST  1399
@@ -82,17 +82,17 @@
 	size_t len;
 	bool writing; /* the writer has lines in hand */
 	uint64_t dropped;
-	uint64_t dropped_told;
-	uint64_t told_us;
+	uint64_t dropped_reported;
+	uint64_t dropped_reported_us;
 	double per_s; /* request lines */
 	double tokens;
 	uint64_t tokens_us;
 	pthread_mutex_t lock;
 	pthread_cond_t wake;
-} ring = { .fd = -1,
-	   .per_s = LW_LOG_REQUEST_LINES,
-	   .lock = PTHREAD_MUTEX_INITIALIZER,
-	   .wake = PTHREAD_COND_INITIALIZER };
+} output = { .fd = -1,
+	     .per_s = LW_LOG_REQUEST_LINES,
+	     .lock = PTHREAD_MUTEX_INITIALIZER,
+	     .wake = PTHREAD_COND_INITIALIZER };
 
 static size_t format_line(char *dst, size_t len, const struct event_info *info, const char *fields)
 {
@@ -110,41 +110,41 @@
 }
 
 /* whether one more request line is within the limit; the lock is held */
-static bool within_limit(void)
+static bool take_request_token(void)
 {
 	uint64_t now = lw_now_us();
 
-	ring.tokens += (double)(now - ring.tokens_us) * ring.per_s / 1e6;
-	ring.tokens_us = now;
-	if (ring.tokens > ring.per_s * REQUEST_BURST_S)
-		ring.tokens = ring.per_s * REQUEST_BURST_S;
-	if (ring.tokens < 1)
+	output.tokens += (double)(now - output.tokens_us) * output.per_s / 1e6;
+	output.tokens_us = now;
+	if (output.tokens > output.per_s * REQUEST_BURST_S)
+		output.tokens = output.per_s * REQUEST_BURST_S;
+	if (output.tokens < 1)
 		return false;
-	ring.tokens -= 1;
+	output.tokens -= 1;
 	return true;
 }
 
-static void to_ring(const struct event_info *info, const char *fields)
+static void enqueue_line(const struct event_info *info, const char *fields)
 {
 	bool about_request = info->id >= REQUEST_EVENT_FIRST && info->id <= REQUEST_EVENT_LAST;
 	char line[LINE_MAX_BYTES];
 	size_t len;
 
-	pthread_mutex_lock(&ring.lock);
-	if (about_request && !within_limit()) {
-		ring.dropped++;
-		pthread_mutex_unlock(&ring.lock);
+	pthread_mutex_lock(&output.lock);
+	if (about_request && !take_request_token()) {
+		output.dropped++;
+		pthread_mutex_unlock(&output.lock);
 		return;
 	}
 	len = format_line(line, sizeof(line), info, fields);
-	if (ring.len + len > RING_BYTES) {
-		ring.dropped++;
+	if (output.len + len > OUTPUT_BUFFER_BYTES) {
+		output.dropped++;
 	} else {
-		memcpy(ring.bytes + ring.len, line, len);
-		ring.len += len;
-		pthread_cond_signal(&ring.wake);
+		memcpy(output.bytes + output.len, line, len);
+		output.len += len;
+		pthread_cond_signal(&output.wake);
 	}
-	pthread_mutex_unlock(&ring.lock);
+	pthread_mutex_unlock(&output.lock);
 }
 
 /*
@@ -163,8 +163,8 @@
 	va_start(ap, fmt);
 	vsnprintf(fields, sizeof(fields), fmt, ap);
 	va_end(ap);
-	if (ring.fd >= 0) {
-		to_ring(info, fields);
+	if (output.fd >= 0) {
+		enqueue_line(info, fields);
 		return;
 	}
 	format_line(line, sizeof(line), info, fields);
@@ -177,10 +177,10 @@
 static void write_all(const char *bytes, size_t len)
 {
 	while (len) {
-		ssize_t n = write(ring.fd, bytes, len);
+		ssize_t n = write(output.fd, bytes, len);
 
 		if (n <= 0) {
-			__atomic_add_fetch(&ring.dropped, 1, __ATOMIC_RELAXED);
+			__atomic_add_fetch(&output.dropped, 1, __ATOMIC_RELAXED);
 			return;
 		}
 		bytes += n;
@@ -189,48 +189,48 @@
 }
 
 /* the line that tells how many were left out since the last such line */
-static void tell_dropped(void)
+static void report_dropped(void)
 {
 	uint64_t dropped = lw_log_dropped();
-	uint64_t told = ring.dropped_told;
+	uint64_t reported = output.dropped_reported;
 	uint64_t now = lw_now_us();
 
-	if (dropped == told || now - ring.told_us < TELL_EVERY_US)
+	if (dropped == reported || now - output.dropped_reported_us < DROPPED_REPORT_US)
 		return;
-	ring.told_us = now;
-	ring.dropped_told = dropped;
-	lw_log(LW_LOG_log_dropped, "lines=%llu total=%llu", (unsigned long long)(dropped - told),
-	       (unsigned long long)dropped);
+	output.dropped_reported_us = now;
+	output.dropped_reported = dropped;
+	lw_log(LW_LOG_log_dropped, "lines=%llu total=%llu",
+	       (unsigned long long)(dropped - reported), (unsigned long long)dropped);
 }
 
 static void *writer(void *arg)
 {
 	const struct timespec gather = { .tv_nsec = GATHER_MS * 1000000L };
-	char *spare = xmalloc(RING_BYTES);
+	char *spare = xmalloc(OUTPUT_BUFFER_BYTES);
 
 	(void)arg;
 	for (;;) {
 		char *full;
 		size_t len;
 
-		pthread_mutex_lock(&ring.lock);
-		while (!ring.len)
-			pthread_cond_wait(&ring.wake, &ring.lock);
-		pthread_mutex_unlock(&ring.lock);
+		pthread_mutex_lock(&output.lock);
+		while (!output.len)
+			pthread_cond_wait(&output.wake, &output.lock);
+		pthread_mutex_unlock(&output.lock);
 		nanosleep(&gather, NULL);
-		tell_dropped();
-		pthread_mutex_lock(&ring.lock);
-		full = ring.bytes;
-		len = ring.len;
-		ring.bytes = spare;
-		ring.len = 0;
-		ring.writing = true;
-		pthread_mutex_unlock(&ring.lock);
+		report_dropped();
+		pthread_mutex_lock(&output.lock);
+		full = output.bytes;
+		len = output.len;
+		output.bytes = spare;
+		output.len = 0;
+		output.writing = true;
+		pthread_mutex_unlock(&output.lock);
 		write_all(full, len);
 		spare = full;
-		pthread_mutex_lock(&ring.lock);
-		ring.writing = false;
-		pthread_mutex_unlock(&ring.lock);
+		pthread_mutex_lock(&output.lock);
+		output.writing = false;
+		pthread_mutex_unlock(&output.lock);
 	}
 	return NULL;
 }
@@ -238,23 +238,23 @@
 /* lw_log_limit() - lines about single requests a second from now on; 0: none. */
 void lw_log_limit(uint32_t request_lines_per_s)
 {
-	pthread_mutex_lock(&ring.lock);
-	ring.per_s = request_lines_per_s;
-	pthread_mutex_unlock(&ring.lock);
+	pthread_mutex_lock(&output.lock);
+	output.per_s = request_lines_per_s;
+	pthread_mutex_unlock(&output.lock);
 }
 
 /* lw_log_to_ring() - from now on lines go to @fd through a thread of their own. */
-void lw_log_to_ring(int fd)
+void lw_log_start_writer(int fd)
 {
 	pthread_t thread;
 
-	ring.bytes = xmalloc(RING_BYTES);
-	ring.tokens = ring.per_s * REQUEST_BURST_S;
-	ring.tokens_us = lw_now_us();
+	output.bytes = xmalloc(OUTPUT_BUFFER_BYTES);
+	output.tokens = output.per_s * REQUEST_BURST_S;
+	output.tokens_us = lw_now_us();
 	if (pthread_create(&thread, NULL, writer, NULL))
 		return; /* lines go on to standard error */
 	pthread_detach(thread);
-	ring.fd = fd;
+	output.fd = fd;
 }
 
 /* lw_log_flush() - before the process ends: wait shortly until all is written. */
@@ -265,9 +265,9 @@
 	for (int i = 0; i < FLUSH_STEPS; i++) {
 		bool done;
 
-		pthread_mutex_lock(&ring.lock);
-		done = !ring.len && !ring.writing;
-		pthread_mutex_unlock(&ring.lock);
+		pthread_mutex_lock(&output.lock);
+		done = !output.len && !output.writing;
+		pthread_mutex_unlock(&output.lock);
 		if (done)
 			return;
 		nanosleep(&step, NULL);
@@ -277,7 +277,7 @@
 /* lw_log_dropped() - lines left out since the start. */
 uint64_t lw_log_dropped(void)
 {
-	return __atomic_load_n(&ring.dropped, __ATOMIC_RELAXED);
+	return __atomic_load_n(&output.dropped, __ATOMIC_RELAXED);
 }
 
 /*
--- a/src/log.h
+++ b/src/log.h
@@ -128,7 +128,7 @@
 
 void lw_log_limit(uint32_t request_lines_per_s);
 void lw_log_init(const char *prog, int max_priority);
-void lw_log_to_ring(int fd);
+void lw_log_start_writer(int fd);
 void lw_log_flush(void);
 uint64_t lw_log_dropped(void);
 void lw_log(lw_event_id_t ev, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
--- a/src/lwctl.c
+++ b/src/lwctl.c
@@ -109,10 +109,10 @@
 
 static int check_proxy_settings(const char *path)
 {
-	lw_proxyset_t s;
+	lw_proxy_settings_t s;
 
-	lw_proxyset_defaults(&s);
-	if (lw_proxyset_load(path, &s)) {
+	lw_proxy_settings_defaults(&s);
+	if (lw_proxy_settings_load(path, &s)) {
 		fprintf(stderr, "%s\n", lw_error_last());
 		return 1;
 	}
--- a/src/lwproxy.c
+++ b/src/lwproxy.c
@@ -13,13 +13,13 @@
 #include "proxy.h"
 #include "proxyset.h"
 
-static lw_status_t load_settings(const char *path, lw_proxyset_t *set)
+static lw_status_t load_settings(const char *path, lw_proxy_settings_t *set)
 {
 	if (!path)
 		return lw_error(
 			LW_ERR_ARGS,
 			"no settings file; name one with --config or let the platform do so");
-	return lw_proxyset_load(path, set);
+	return lw_proxy_settings_load(path, set);
 }
 
 int main(int argc, char **argv)
@@ -30,7 +30,7 @@
 	void *table[] = { cli.help, cli.version, config, check, cli.end };
 	const char *path;
 	/* outlives main(): other threads use it while the process exits */
-	static lw_proxyset_t set;
+	static lw_proxy_settings_t set;
 	int rc;
 
 	lw_proxy_mask_signals(SIG_BLOCK);
@@ -38,8 +38,8 @@
 	lw_log_init("lwproxy", LOG_INFO);
 	if (rc != LW_CLI_RUN)
 		return rc;
-	lw_proxyset_defaults(&set);
-	path = config->count ? config->filename[0] : lw_users_platform.settings_path();
+	lw_proxy_settings_defaults(&set);
+	path = config->count ? config->filename[0] : lw_default_platform.settings_path();
 	if (load_settings(path, &set)) {
 		lw_log(LW_LOG_settings_invalid, "why=\"%s\"", lw_error_last());
 		return 2;
@@ -49,8 +49,8 @@
 		return 0;
 	}
 	lw_log_limit(set.log_request_lines);
-	lw_log_to_ring(STDOUT_FILENO);
-	if (lw_proxy_run(&set, path, &lw_users_platform)) {
+	lw_log_start_writer(STDOUT_FILENO);
+	if (lw_proxy_run(&set, path, &lw_default_platform)) {
 		lw_log(LW_LOG_settings_invalid, "why=\"%s\"", lw_error_last());
 		lw_log_flush();
 		return 1;
--- a/src/probe.c
+++ b/src/probe.c
@@ -28,7 +28,7 @@
 
 	if (lw_str_eq_c(id, p->server_id) && p->heard)
 		p->heard(p->heard_ctx, &said, p->began_us);
-	if (lw_httphead_find(h, LW_HEADER_NOT_RUN).ptr)
+	if (lw_httphead_find(h, LW_HEADER_NOT_EXECUTED).ptr)
 		return true;
 	if (h->status == 200 && lw_str_eq_c(id, p->server_id))
 		p->healthy_us = p->hub->now_us;
--- a/src/proxy.c
+++ b/src/proxy.c
@@ -14,12 +14,12 @@
 static void on_hangup(struct ev_loop *loop, ev_signal *w, int revents)
 {
 	lw_proxy_t *p = w->data;
-	lw_proxyset_t fresh;
+	lw_proxy_settings_t fresh;
 
 	(void)loop;
 	(void)revents;
-	lw_proxyset_defaults(&fresh);
-	if (lw_proxyset_load(p->path, &fresh)) {
+	lw_proxy_settings_defaults(&fresh);
+	if (lw_proxy_settings_load(p->path, &fresh)) {
 		lw_log(LW_LOG_settings_invalid, "signal=1 kept=old why=\"%s\"", lw_error_last());
 		return;
 	}
@@ -30,11 +30,11 @@
 	p->set->retry_window_s = fresh.retry_window_s;
 	p->set->log_request_lines = fresh.log_request_lines;
 	lw_log_limit(p->set->log_request_lines);
-	p->engine.place.terms = lw_proxyset_retryterms(p->set);
+	p->engine.place.terms = lw_proxy_settings_retryterms(p->set);
 	p->set->quota_window_s = fresh.quota_window_s;
 	p->set->quota_overage = fresh.quota_overage;
 	p->set->quota_slack = fresh.quota_slack;
-	lw_proxy_quota_terms(p);
+	lw_proxy_quota_update_settings(p);
 	lw_log(LW_LOG_settings_reloaded, "signal=1 grace_s=%.1f retry_ratio=%.2f retry_extra=%.0f",
 	       p->set->grace_s, p->set->retry_ratio, p->set->retry_extra);
 }
@@ -54,7 +54,7 @@
 		.servers = p->engine.place.nhosts,
 		.config_version = p->engine.conf ? p->engine.conf->version : 0,
 		.servers_revision = p->servers ? p->servers->revision : 0,
-		.news_age_ms = lw_proxy_news_age_ms(p),
+		.news_age_ms = lw_proxy_update_age_ms(p),
 		.log_dropped = lw_log_dropped(),
 		.longest_turn_us = p->hub.longest_turn_us,
 		.suspects = lw_quarantine_count(p->engine.quarantine),
@@ -74,14 +74,14 @@
 	lw_proxystatus_t s = {
 		.engine = &p->engine,
 		.servers_revision = p->servers ? p->servers->revision : 0,
-		.news_age_ms = lw_proxy_news_age_ms(p),
+		.news_age_ms = lw_proxy_update_age_ms(p),
 		.ready = p->engine.conf && p->engine.place.nhosts && !p->hub.leaving,
 		.reader = lw_spread_reads(&p->spread),
-		.reads = p->reads,
+		.reads_store = p->reads_store,
 		.reads_why = p->reads_why,
-		.news_from = p->news_from,
+		.peer_read_from = p->peer_read_from,
 		.spread = &p->spread,
-		.quota_keeper = p->quota_keeper,
+		.quota_coordinator = p->quota_coordinator,
 		.mesh = lw_mesh_stats(p->engine.mesh),
 		.feed = &p->feed.stats,
 	};
@@ -91,14 +91,14 @@
 
 	lw_proxystatus_print(f, &s);
 	fclose(f);
-	lw_proxystats_put_status(text, len);
+	lw_proxystats_set_status(text, len);
 }
 
 static void on_tick(void *ctx)
 {
 	lw_proxy_t *p = ctx;
 
-	lw_proxy_contact_lost(p);
+	lw_proxy_reconnect_lost(p);
 	publish_stats(p);
 	if (lw_proxystats_status_wanted())
 		write_status(p);
@@ -155,7 +155,7 @@
  * lw_proxy_run() - run until SIGTERM and the end of what was under way. Fails
  * only at the start, with the reason in lw_error_last().
  */
-lw_status_t lw_proxy_run(lw_proxyset_t *set, const char *path, const lw_platform_t *platform)
+lw_status_t lw_proxy_run(lw_proxy_settings_t *set, const char *path, const lw_platform_t *platform)
 {
 	static lw_proxy_t proxy;
 	lw_proxy_t *p = &proxy;
@@ -166,14 +166,14 @@
 	p->platform = platform;
 	lw_hub_init(&p->hub, set, platform->names, lw_now_us() ^ (uint64_t)getpid() << 32);
 	p->engine.hub = &p->hub;
-	p->engine.list_is_old = lw_proxy_list_is_old;
-	p->engine.news_age_ms = lw_proxy_news_age_ms;
+	p->engine.list_is_old = lw_proxy_refresh_list;
+	p->engine.news_age_ms = lw_proxy_update_age_ms;
 	p->engine.ctx = p;
 	lw_place_node_addr(p->mesh_addr, sizeof(p->mesh_addr), set->backend, set->mesh_port);
 	lw_proxy_lease_init(p);
 	lw_proxy_quota_init(p);
 	lw_place_init(&p->engine.place, set->zone, set->backend, set->mesh_port,
-		      lw_proxyset_retryterms(set));
+		      lw_proxy_settings_retryterms(set));
 	p->engine.quarantine = lw_quarantine_new();
 	lw_gate_init(&p->engine.gate, &p->hub, p->engine.quarantine);
 	lw_proxy_notice_init(p);
--- a/src/proxy.h
+++ b/src/proxy.h
@@ -7,6 +7,6 @@
 #include "status.h"
 
 void lw_proxy_mask_signals(int how);
-lw_status_t lw_proxy_run(lw_proxyset_t *set, const char *path, const lw_platform_t *platform);
+lw_status_t lw_proxy_run(lw_proxy_settings_t *set, const char *path, const lw_platform_t *platform);
 
 #endif
--- a/src/proxycrash.c
+++ b/src/proxycrash.c
@@ -14,7 +14,7 @@
 	       by);
 }
 
-static void on_server_ended(void *ctx, const lw_crash_t *crash)
+static void on_server_crashed(void *ctx, const lw_crash_t *crash)
 {
 	lw_proxy_t *p = ctx;
 	lw_fingerprint_t prints[LW_CRASH_SUSPECTS_MAX];
@@ -37,7 +37,7 @@
 }
 
 /* lw_proxy_suspect() - a node knows this of a request; returns what others must hear now, or NULL. */
-const lw_suspect_t *lw_proxy_suspect(void *ctx, const lw_suspect_t *told)
+const lw_suspect_t *lw_proxy_merge_suspect(void *ctx, const lw_suspect_t *told)
 {
 	lw_proxy_t *p = ctx;
 	const lw_suspect_t *s = lw_quarantine_told(p->engine.quarantine, told, p->hub.now_us);
@@ -48,7 +48,7 @@
 }
 
 /* lw_proxy_suspects() - the requests that a node that begins must know of. */
-size_t lw_proxy_suspects(void *ctx, const lw_suspect_t **out, size_t most)
+size_t lw_proxy_list_suspects(void *ctx, const lw_suspect_t **out, size_t most)
 {
 	const lw_proxy_t *p = ctx;
 
@@ -65,7 +65,7 @@
 /* lw_proxy_crash_init() - once the gate stands. */
 void lw_proxy_crash_init(lw_proxy_t *p)
 {
-	p->engine.gate.ended = on_server_ended;
+	p->engine.gate.ended = on_server_crashed;
 	p->engine.gate.ended_ctx = p;
 	lw_hub_on_tick(&p->hub, on_tick, p);
 }
--- a/src/proxylease.c
+++ b/src/proxylease.c
@@ -8,11 +8,11 @@
 /* while the entry is missing, evidence is looked at so often, in seconds */
 #define STEP_S 0.1
 /* the server is asked, and other nodes are told, so often, us */
-#define ROUND_US 500000
+#define CHECK_INTERVAL_US 500000
 /* and the store is read on for so long after the last step, us */
 #define LEASE_READ_US 2500000
 
-static lw_lease_evidence_t evidence(const lw_proxy_t *p)
+static lw_lease_evidence_t gather_evidence(const lw_proxy_t *p)
 {
 	return (lw_lease_evidence_t){
 		.now_us = p->hub.now_us,
@@ -46,7 +46,7 @@
 	return s ? s->health : "";
 }
 
-static void ask_server(lw_proxy_t *p)
+static void check_health(lw_proxy_t *p)
 {
 	lw_probe_check(&p->probe, lw_proxy_health_path(p));
 }
@@ -54,11 +54,11 @@
 /* the store is read by this node itself as long as the entry is missing */
 static void read_store(lw_proxy_t *p)
 {
-	lw_proxy_read_for(p, LEASE_READ_US, LW_FEED_LEASE);
+	lw_proxy_read_store_for(p, LEASE_READ_US, LW_FEED_LEASE);
 }
 
 /* the other nodes, and this one's own placement, are told that the server lives */
-static void vouch(lw_proxy_t *p)
+static void assert_liveness(lw_proxy_t *p)
 {
 	lw_place_vouched(&p->engine.place, p->mesh_addr, p->engine.gate.server_id, p->born_ms,
 			 p->hub.now_us);
@@ -69,7 +69,7 @@
 static void on_step(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_proxy_t *p = w->data;
-	lw_lease_evidence_t ev = evidence(p);
+	lw_lease_evidence_t ev = gather_evidence(p);
 	bool changed = lw_lease_step(&p->lease, &ev);
 
 	(void)revents;
@@ -84,39 +84,39 @@
 		return;
 	}
 	read_store(p);
-	if (!changed && p->hub.now_us - p->round_us < ROUND_US)
+	if (!changed && p->hub.now_us - p->last_check_us < CHECK_INTERVAL_US)
 		return;
-	p->round_us = p->hub.now_us;
-	ask_server(p);
+	p->last_check_us = p->hub.now_us;
+	check_health(p);
 	if (lw_lease_vouches(&p->lease, &ev))
-		vouch(p);
+		assert_liveness(p);
 	else
 		lw_mesh_vouch(p->engine.mesh, "", 0);
 }
 
 /* lw_proxy_lease_missing() - the entry of the backend server here is not in the newest list. */
-void lw_proxy_lease_missing(lw_proxy_t *p)
+void lw_proxy_lease_entry_missing(lw_proxy_t *p)
 {
 	if (p->lease.state != LW_LEASE_HELD)
 		return;
 	lw_lease_missing(&p->lease, p->hub.now_us);
 	lw_probe_reset(&p->probe, p->engine.gate.server_id);
-	p->round_us = p->hub.now_us;
-	ask_server(p);
+	p->last_check_us = p->hub.now_us;
+	check_health(p);
 	read_store(p);
 	lw_feed_hurry(&p->feed);
-	ev_timer_again(p->hub.loop, &p->lease_step);
+	ev_timer_again(p->hub.loop, &p->lease_timer);
 }
 
 /* lw_proxy_lease_found() - it is in the list, as the process that started at @born_ms. */
-void lw_proxy_lease_found(lw_proxy_t *p, uint64_t born_ms)
+void lw_proxy_lease_entry_found(lw_proxy_t *p, uint64_t born_ms)
 {
 	p->born_ms = born_ms;
 	if (p->lease.state == LW_LEASE_HELD)
 		return;
 	lw_lease_found(&p->lease);
 	lw_log(LW_LOG_lease_changed, "server=%s state=held by=list", p->engine.gate.server_id);
-	ev_timer_stop(p->hub.loop, &p->lease_step);
+	ev_timer_stop(p->hub.loop, &p->lease_timer);
 	lw_mesh_vouch(p->engine.mesh, "", 0);
 }
 
@@ -125,8 +125,8 @@
 {
 	lw_lease_found(&p->lease);
 	lw_probe_init(&p->probe, &p->hub);
-	p->probe.heard = lw_proxy_heard;
+	p->probe.heard = lw_proxy_on_server_notice;
 	p->probe.heard_ctx = p;
-	ev_timer_init(&p->lease_step, on_step, 0, STEP_S);
-	p->lease_step.data = p;
+	ev_timer_init(&p->lease_timer, on_step, 0, STEP_S);
+	p->lease_timer.data = p;
 }
--- a/src/proxynews.c
+++ b/src/proxynews.c
@@ -9,15 +9,15 @@
 #include "storepos.h"
 
 /* the store is asked out of turn at most so often: its calls are few, us */
-#define HURRY_AGAIN_US 200000
+#define URGENT_READ_INTERVAL_US 200000
 /* and read for so long then, us */
-#define HURRY_READ_US 300000
+#define URGENT_READ_US 300000
 /* a node that steps in for the readers goes on for so long, us */
 #define SUBSTITUTE_READ_US 2500000
 /* news is passed on when it is so much newer than what was passed on last, us */
-#define PASS_ON_US 300000
+#define FORWARD_INTERVAL_US 300000
 /* old news is asked for so often, us */
-#define ASK_AGAIN_US 100000
+#define QUERY_INTERVAL_US 100000
 /* the documents, as the mesh numbers them */
 #define DOCUMENT_CONFIG	 LW__DOCUMENT_KIND__DOCUMENT_CONFIG
 #define DOCUMENT_SERVERS LW__DOCUMENT_KIND__DOCUMENT_SERVERS
@@ -28,20 +28,20 @@
 #define LAPSED_MARGIN_S 0.45
 
 /* lw_proxy_news_age_ms() - since the store was last read, here or by another node. */
-uint32_t lw_proxy_news_age_ms(void *ctx)
+uint32_t lw_proxy_update_age_ms(void *ctx)
 {
 	const lw_proxy_t *p = ctx;
-	uint64_t age_us = lw_now_boot_us() - p->news_us;
+	uint64_t age_us = lw_now_boot_us() - p->store_read_us;
 
 	return age_us / 1000 < UINT32_MAX ? (uint32_t)(age_us / 1000) : UINT32_MAX;
 }
 
 /* tell the nodes that hear of news by this one */
-static void pass_on(lw_proxy_t *p)
+static void forward_update(lw_proxy_t *p)
 {
 	char node[LW_NAME_MAX];
 
-	p->passed_us = p->news_us;
+	p->forwarded_us = p->store_read_us;
 	for (size_t i = 0; i < p->spread.nchildren; i++) {
 		lw_place_node_addr(node, sizeof(node), p->spread.child[i], p->set->mesh_port);
 		lw_mesh_tell(p->engine.mesh, node);
@@ -49,7 +49,7 @@
 }
 
 /* keep the list as a document; false if it has the same servers as the one in use */
-static bool put_servers(lw_proxy_t *p, const lw_serverlist_t *sl)
+static bool store_server_document(lw_proxy_t *p, const lw_serverlist_t *sl)
 {
 	lw_bytebuf_t bytes = { 0 };
 	bool changed;
@@ -74,9 +74,9 @@
 		      (lw_str_t){ fc->text, fc->textlen });
 	lw_log(LW_LOG_config_accepted, "version=%llu routes=%zu from=%s",
 	       (unsigned long long)fc->version, fc->nroutes, from);
-	lw_proxy_quota_config(p);
+	lw_proxy_quota_update_config(p);
 	lw_fleetconf_free(old);
-	pass_on(p);
+	forward_update(p);
 }
 
 /*
@@ -88,7 +88,7 @@
 {
 	double use_s = p->set->drain_s - LAPSED_MARGIN_S;
 
-	return use_s > 0 ? p->news_us + (uint64_t)(use_s * 1e6) : 0;
+	return use_s > 0 ? p->store_read_us + (uint64_t)(use_s * 1e6) : 0;
 }
 
 static void apply_servers(lw_proxy_t *p, lw_serverlist_t *sl, const char *from)
@@ -108,7 +108,7 @@
 		lw_serverlist_free(sl);
 		return;
 	}
-	if (!put_servers(p, sl)) {
+	if (!store_server_document(p, sl)) {
 		p->servers->revision = sl->revision;
 		lw_serverlist_free(sl);
 		return;
@@ -122,18 +122,18 @@
 	       known && self->draining);
 	if (known) {
 		lw_gate_set_server(&p->engine.gate, self);
-		lw_proxy_lease_found(p, self->born_ms);
-	} else if (p->had_self && lw_gate_leaving(&p->engine.gate)) {
+		lw_proxy_lease_entry_found(p, self->born_ms);
+	} else if (p->server_was_listed && lw_gate_leaving(&p->engine.gate)) {
 		/* it drained before its entry went */
-	} else if (p->had_self) {
-		lw_proxy_lease_missing(p);
+	} else if (p->server_was_listed) {
+		lw_proxy_lease_entry_missing(p);
 	}
-	p->had_self |= known;
+	p->server_was_listed |= known;
 	lw_serverlist_free(p->servers);
 	p->servers = sl;
 	lw_spread_plan(sl, p->set->backend, p->set->zone, &p->spread);
-	lw_proxy_quota_servers(p, sl);
-	pass_on(p);
+	lw_proxy_quota_update_servers(p, sl);
+	forward_update(p);
 }
 
 static void update_ready(lw_proxy_t *p)
@@ -142,7 +142,7 @@
 }
 
 /* this node reads the store itself from now on */
-static void begin_reading(lw_proxy_t *p, lw_feed_why_t why)
+static void start_reading(lw_proxy_t *p, lw_feed_why_t why)
 {
 	if (p->servers && lw_feed_rests(&p->feed))
 		lw_mailbox_put(&p->feed.in_use, lw_serverlist_copy(p->servers));
@@ -150,30 +150,31 @@
 	lw_feed_set_patient(&p->feed, why == LW_FEED_NEWS_OLD && p->servers &&
 					      !lw_spread_steps_in(&p->spread));
 	/* several reasons may hold at once: only a new one that outlasts the others is told */
-	if (p->reads && (p->reads_why == why || why != LW_FEED_READER))
+	if (p->reads_store && (p->reads_why == why || why != LW_FEED_READER))
 		return;
-	p->reads = true;
+	p->reads_store = true;
 	p->reads_why = why;
 	lw_log(LW_LOG_store_reading, "why=%s news_age_ms=%u others_age_ms=%llu rank=%u",
-	       lw_feed_why_name(why), lw_proxy_news_age_ms(p),
-	       (unsigned long long)((p->hub.now_us - p->others_us) / 1000), p->spread.rank);
+	       lw_feed_why_name(why), lw_proxy_update_age_ms(p),
+	       (unsigned long long)((p->hub.now_us - p->peer_read_us) / 1000), p->spread.rank);
 }
 
-static void end_reading(lw_proxy_t *p)
+static void stop_reading(lw_proxy_t *p)
 {
 	lw_feed_rest(&p->feed);
-	if (p->reads)
+	if (p->reads_store)
 		lw_log(LW_LOG_store_reading, "why=none others_age_ms=%llu rank=%u",
-		       (unsigned long long)((p->hub.now_us - p->others_us) / 1000), p->spread.rank);
-	p->reads = false;
+		       (unsigned long long)((p->hub.now_us - p->peer_read_us) / 1000),
+		       p->spread.rank);
+	p->reads_store = false;
 }
 
 /* lw_proxy_read_for() - this node reads the store itself for @us at least. */
-void lw_proxy_read_for(lw_proxy_t *p, uint64_t us, lw_feed_why_t why)
+void lw_proxy_read_store_for(lw_proxy_t *p, uint64_t us, lw_feed_why_t why)
 {
 	if (p->read_until_us < p->hub.now_us + us)
 		p->read_until_us = p->hub.now_us + us;
-	begin_reading(p, why);
+	start_reading(p, why);
 }
 
 /*
@@ -181,21 +182,21 @@
  * What it read itself does not count: it would stop, wait for others in vain,
  * and begin again.
  */
-static void decide_reading(lw_proxy_t *p)
+static void update_reading(lw_proxy_t *p)
 {
 	uint64_t now = p->hub.now_us;
-	bool old = now > p->others_us + (uint64_t)p->spread.patience_ms * 1000;
+	bool old = now > p->peer_read_us + (uint64_t)p->spread.patience_ms * 1000;
 
 	if (lw_spread_reads(&p->spread))
-		begin_reading(p, LW_FEED_READER);
+		start_reading(p, LW_FEED_READER);
 	else if (old)
-		lw_proxy_read_for(p, lw_spread_steps_in(&p->spread) ? SUBSTITUTE_READ_US : 0,
-				  LW_FEED_NEWS_OLD);
+		lw_proxy_read_store_for(p, lw_spread_steps_in(&p->spread) ? SUBSTITUTE_READ_US : 0,
+					LW_FEED_NEWS_OLD);
 	else if (p->servers && now >= p->read_until_us)
-		end_reading(p);
+		stop_reading(p);
 }
 
-static void on_fed(struct ev_loop *loop, ev_async *w, int revents)
+static void on_feed_wakeup(struct ev_loop *loop, ev_async *w, int revents)
 {
 	lw_proxy_t *p = w->data;
 	lw_fleetconf_t *fc = lw_mailbox_take(&p->feed.conf);
@@ -208,11 +209,11 @@
 	if (sl)
 		apply_servers(p, sl, "store");
 	update_ready(p);
-	if (lw_feed_last_read_us(&p->feed) > p->news_us) {
-		p->news_us = lw_feed_last_read_us(&p->feed);
-		pass_on(p);
+	if (lw_feed_last_read_us(&p->feed) > p->store_read_us) {
+		p->store_read_us = lw_feed_last_read_us(&p->feed);
+		forward_update(p);
 	}
-	decide_reading(p);
+	update_reading(p);
 }
 
 /* what the mesh asks and tells */
@@ -228,7 +229,8 @@
 		lw_log(LW_LOG_server_leaving, "server=%s by=node", leaving->id);
 }
 
-static void mesh_vouched(void *ctx, const char *node, const char *server, uint64_t born_ms)
+static void mesh_liveness_asserted(void *ctx, const char *node, const char *server,
+				   uint64_t born_ms)
 {
 	lw_proxy_t *p = ctx;
 
@@ -236,21 +238,21 @@
 		lw_log(LW_LOG_server_vouched, "server=%s node=%s", server, node);
 }
 
-static uint32_t mesh_levels(void *ctx, lw_heard_t *out, uint32_t most)
+static uint32_t mesh_list_levels(void *ctx, lw_heard_t *out, uint32_t most)
 {
 	const lw_proxy_t *p = ctx;
 
 	return lw_hotpath_tell(p->engine.hotpath, p->hub.now_us, out, most);
 }
 
-static void mesh_heard(void *ctx, const lw_heard_t *heard)
+static void mesh_level_received(void *ctx, const lw_heard_t *heard)
 {
 	lw_proxy_t *p = ctx;
 
 	lw_hotpath_heard(p->engine.hotpath, heard, p->hub.now_us);
 }
 
-static void mesh_lost(void *ctx, const char *node, bool used)
+static void mesh_node_lost(void *ctx, const char *node, bool used)
 {
 	lw_proxy_t *p = ctx;
 
@@ -310,40 +312,40 @@
 	p->servers->revision = revision;
 }
 
-static void mesh_news(void *ctx, const char *node, uint64_t at_us)
+static void mesh_store_read(void *ctx, const char *node, uint64_t at_us)
 {
 	lw_proxy_t *p = ctx;
 
-	if (at_us > p->others_us) {
-		p->others_us = at_us;
-		lw_str_copy(p->news_from, sizeof(p->news_from), lw_str_c(node));
+	if (at_us > p->peer_read_us) {
+		p->peer_read_us = at_us;
+		lw_str_copy(p->peer_read_from, sizeof(p->peer_read_from), lw_str_c(node));
 	}
 	lw_feed_others_read(&p->feed, at_us);
-	if (at_us <= p->news_us)
+	if (at_us <= p->store_read_us)
 		return;
-	p->news_us = at_us;
-	if (at_us - p->passed_us > PASS_ON_US)
-		pass_on(p);
+	p->store_read_us = at_us;
+	if (at_us - p->forwarded_us > FORWARD_INTERVAL_US)
+		forward_update(p);
 }
 
 const lw_mesh_ops_t lw_proxy_mesh_ops = {
 	.load = mesh_load,
-	.vouched = mesh_vouched,
-	.lost = mesh_lost,
-	.levels = mesh_levels,
-	.heard = mesh_heard,
+	.vouched = mesh_liveness_asserted,
+	.lost = mesh_node_lost,
+	.levels = mesh_list_levels,
+	.heard = mesh_level_received,
 	.config_version = mesh_config_version,
 	.document = mesh_document,
 	.config_received = mesh_config_received,
 	.servers = mesh_servers,
 	.servers_received = mesh_servers_received,
 	.servers_confirmed = mesh_servers_confirmed,
-	.news_age_ms = lw_proxy_news_age_ms,
-	.news = mesh_news,
-	.quota_report = lw_proxy_quota_report,
-	.quota_terms = lw_proxy_quota_told,
-	.suspect = lw_proxy_suspect,
-	.suspects = lw_proxy_suspects,
+	.news_age_ms = lw_proxy_update_age_ms,
+	.news = mesh_store_read,
+	.quota_report = lw_proxy_quota_on_report,
+	.quota_terms = lw_proxy_quota_on_reply,
+	.suspect = lw_proxy_merge_suspect,
+	.suspects = lw_proxy_list_suspects,
 };
 
 /*
@@ -351,19 +353,19 @@
  * look at the store would come 0.7 s later; after a power failure all calls to
  * the service failed until then.
  */
-void lw_proxy_list_is_old(void *ctx)
+void lw_proxy_refresh_list(void *ctx)
 {
 	lw_proxy_t *p = ctx;
 
-	if (p->hub.now_us - p->hurried_us < HURRY_AGAIN_US)
+	if (p->hub.now_us - p->urgent_read_us < URGENT_READ_INTERVAL_US)
 		return;
-	p->hurried_us = p->hub.now_us;
-	lw_proxy_read_for(p, HURRY_READ_US, LW_FEED_SERVER_REPLACED);
+	p->urgent_read_us = p->hub.now_us;
+	lw_proxy_read_store_for(p, URGENT_READ_US, LW_FEED_SERVER_REPLACED);
 	lw_feed_hurry(&p->feed);
 }
 
 /* try to reach a node that was lost; its first status clears it */
-static void contact(void *ctx, const char *node)
+static void reconnect(void *ctx, const char *node)
 {
 	lw_proxy_t *p = ctx;
 
@@ -371,27 +373,27 @@
 }
 
 /* lw_proxy_contact_lost() - try to reach the nodes that were lost. */
-void lw_proxy_contact_lost(lw_proxy_t *p)
+void lw_proxy_reconnect_lost(lw_proxy_t *p)
 {
-	lw_place_each_lost(&p->engine.place, contact, p);
+	lw_place_each_lost(&p->engine.place, reconnect, p);
 }
 
 /*
  * Looks when the news is old enough to be asked for, which it never gets while
  * the readers are heard.
  */
-static void on_news_due(struct ev_loop *loop, ev_timer *w, int revents)
+static void on_query_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_proxy_t *p = w->data;
-	uint64_t due = p->others_us + LW_NEWS_ASK_MS * 1000;
+	uint64_t due = p->peer_read_us + LW_NEWS_ASK_MS * 1000;
 	uint64_t left = due > p->hub.now_us ? due - p->hub.now_us : 0;
 
 	(void)revents;
 	if (!left) {
 		lw_mesh_ask_news(p->engine.mesh, LW_NEWS_ASK_NODES);
-		left = ASK_AGAIN_US;
+		left = QUERY_INTERVAL_US;
 	}
-	decide_reading(p);
+	update_reading(p);
 	ev_timer_set(w, (double)left / 1e6, 0);
 	ev_timer_start(loop, w);
 }
@@ -409,20 +411,23 @@
 /* lw_proxy_start_feed() - start the thread that reads the store. */
 lw_status_t lw_proxy_start_feed(lw_proxy_t *p)
 {
-	ev_async_init(&p->fed, on_fed);
-	p->fed.data = p;
-	ev_async_start(p->hub.loop, &p->fed);
+	ev_async_init(&p->feed_wakeup, on_feed_wakeup);
+	p->feed_wakeup.data = p;
+	ev_async_start(p->hub.loop, &p->feed_wakeup);
 	lw_feed_init(&p->feed, p->set);
-	p->others_us = p->hub.now_us;
+	p->peer_read_us = p->hub.now_us;
 	lw_spread_plan(&(lw_serverlist_t){ 0 }, p->set->backend, p->set->zone, &p->spread);
-	p->reads = true;
+	p->reads_store = true;
 	p->reads_why = LW_FEED_START;
-	ev_timer_init(&p->news_due, on_news_due, LW_NEWS_ASK_MS / 1000.0, 0);
-	p->news_due.data = p;
-	ev_timer_start(p->hub.loop, &p->news_due);
-	p->feed.conf = (lw_mailbox_t){ .release = free_conf, .loop = p->hub.loop, .wake = &p->fed };
+	ev_timer_init(&p->query_timer, on_query_timer, LW_NEWS_ASK_MS / 1000.0, 0);
+	p->query_timer.data = p;
+	ev_timer_start(p->hub.loop, &p->query_timer);
+	p->feed.conf = (lw_mailbox_t){ .release = free_conf,
+				       .loop = p->hub.loop,
+				       .wake = &p->feed_wakeup };
 	p->feed.in_use = (lw_mailbox_t){ .release = free_servers };
-	p->feed.servers =
-		(lw_mailbox_t){ .release = free_servers, .loop = p->hub.loop, .wake = &p->fed };
+	p->feed.servers = (lw_mailbox_t){ .release = free_servers,
+					  .loop = p->hub.loop,
+					  .wake = &p->feed_wakeup };
 	return p->platform->start_feed(&p->feed);
 }
--- a/src/proxynotice.c
+++ b/src/proxynotice.c
@@ -6,7 +6,7 @@
 #include "proxy_int.h"
 
 /* a server that names a limit and has not been heard for so long is asked, us */
-#define UNHEARD_US 1500000
+#define LIMIT_STALE_US 1500000
 
 /* lw_proxy_announce() - what the server announces has changed: those that may send it requests hear now. */
 void lw_proxy_announce(void *ctx)
@@ -17,7 +17,7 @@
 }
 
 /* lw_proxy_heard() - the server has announced this in its answer to a health check. */
-void lw_proxy_heard(void *ctx, const lw_notice_said_t *said, uint64_t sent_us)
+void lw_proxy_on_server_notice(void *ctx, const lw_notice_said_t *said, uint64_t sent_us)
 {
 	lw_proxy_t *p = ctx;
 
@@ -39,40 +39,40 @@
 }
 
 /* a limit may change with each answer: lines and words to others are as many as ticks at most */
-static void tell_limit(lw_proxy_t *p)
+static void announce_limit(lw_proxy_t *p)
 {
 	const lw_notice_limit_t *named = &p->engine.gate.named;
 
-	if (named->on == p->told_limit.on && named->per_s == p->told_limit.per_s)
+	if (named->on == p->announced_limit.on && named->per_s == p->announced_limit.per_s)
 		return;
-	p->told_limit = *named;
+	p->announced_limit = *named;
 	log_limit(p);
 	lw_proxy_announce(p);
 }
 
-static void tell_invalid(lw_proxy_t *p)
+static void log_invalid_limits(lw_proxy_t *p)
 {
 	uint64_t answers = p->engine.gate.stats.invalid_limits;
 
-	if (answers == p->told_invalid)
+	if (answers == p->logged_invalid)
 		return;
 	lw_log(LW_LOG_limit_invalid, "server=%s answers=%llu", p->engine.gate.server_id,
-	       (unsigned long long)(answers - p->told_invalid));
-	p->told_invalid = answers;
+	       (unsigned long long)(answers - p->logged_invalid));
+	p->logged_invalid = answers;
 }
 
 /*
  * A limit that lets nothing in would hold for good, as only answers end it: requests
  * would be refused beside a server that is well again.
  */
-static void ask_if_unheard(lw_proxy_t *p)
+static void refresh_stale_limit(lw_proxy_t *p)
 {
 	const lw_notice_limit_t *named = &p->engine.gate.named;
 
-	if (!named->on || p->hub.now_us - named->heard_us < UNHEARD_US ||
-	    p->hub.now_us - p->limit_asked_us < UNHEARD_US)
+	if (!named->on || p->hub.now_us - named->heard_us < LIMIT_STALE_US ||
+	    p->hub.now_us - p->limit_probe_us < LIMIT_STALE_US)
 		return;
-	p->limit_asked_us = p->hub.now_us;
+	p->limit_probe_us = p->hub.now_us;
 	lw_probe_reset(&p->limit_probe, p->engine.gate.server_id);
 	lw_probe_check(&p->limit_probe, lw_proxy_health_path(p));
 }
@@ -81,9 +81,9 @@
 {
 	lw_proxy_t *p = ctx;
 
-	tell_limit(p);
-	tell_invalid(p);
-	ask_if_unheard(p);
+	announce_limit(p);
+	log_invalid_limits(p);
+	refresh_stale_limit(p);
 }
 
 /* lw_proxy_notice_init() - once the gate stands. */
@@ -92,7 +92,7 @@
 	p->engine.gate.noticed = lw_proxy_announce;
 	p->engine.gate.noticed_ctx = p;
 	lw_probe_init(&p->limit_probe, &p->hub);
-	p->limit_probe.heard = lw_proxy_heard;
+	p->limit_probe.heard = lw_proxy_on_server_notice;
 	p->limit_probe.heard_ctx = p;
 	lw_hub_on_tick(&p->hub, on_tick, p);
 }
--- a/src/proxyquota.c
+++ b/src/proxyquota.c
@@ -12,30 +12,30 @@
 /* the period in which is looked whether a report is due, in seconds */
 #define STEP_S 0.05
 /* organisations that one report may name; the rest comes with the next */
-#define REPORT_MOST 4096
+#define REPORT_MAX_ORGS 4096
 
-static lw_quota_use_t uses[REPORT_MOST];
-static lw_quota_term_t terms[REPORT_MOST];
+static lw_quota_use_t uses[REPORT_MAX_ORGS];
+static lw_quota_term_t terms[REPORT_MAX_ORGS];
 
-static lw_quotaterms_t terms_of(const lw_proxyset_t *set)
+static lw_quotaterms_t settings_terms(const lw_proxy_settings_t *set)
 {
 	return (lw_quotaterms_t){ set->quota_window_s, set->quota_overage, set->quota_slack };
 }
 
-static void report_to(lw_proxy_t *p, uint32_t keeper)
+static void report_to(lw_proxy_t *p, uint32_t coordinator)
 {
 	uint64_t now = p->hub.now_us;
-	const char *node = p->quota_keeper[keeper];
-	size_t n = lw_quota_report(p->engine.quota, keeper, now, uses, REPORT_MOST);
+	const char *node = p->quota_coordinator[coordinator];
+	size_t n = lw_quota_report(p->engine.quota, coordinator, now, uses, REPORT_MAX_ORGS);
 
-	p->quota_number[keeper]++;
+	p->quota_number[coordinator]++;
 	if (strcmp(node, p->mesh_addr) == 0) {
-		lw_quotakeeper_took(p->keeper, p->quota_node, uses, n, now);
-		n = lw_quotakeeper_terms(p->keeper, uses, n, terms, REPORT_MOST, now);
-		lw_quota_told(p->engine.quota, keeper, terms, n, now);
+		lw_quotakeeper_took(p->coordinator, p->quota_node, uses, n, now);
+		n = lw_quotakeeper_terms(p->coordinator, uses, n, terms, REPORT_MAX_ORGS, now);
+		lw_quota_told(p->engine.quota, coordinator, terms, n, now);
 	} else if (!lw_mesh_report_quota(p->engine.mesh, node, p->quota_node,
-					 p->quota_number[keeper], uses, n)) {
-		lw_quota_lost(p->engine.quota, keeper);
+					 p->quota_number[coordinator], uses, n)) {
+		lw_quota_lost(p->engine.quota, coordinator);
 	}
 }
 
@@ -47,15 +47,15 @@
 	(void)loop;
 	(void)revents;
 	for (uint32_t i = 0; i < LW_QUOTA_KEEPERS; i++)
-		if (p->quota_keeper[i][0] && lw_quota_due(p->engine.quota, i, p->hub.now_us))
+		if (p->quota_coordinator[i][0] && lw_quota_due(p->engine.quota, i, p->hub.now_us))
 			report_to(p, i);
 	if (alone != p->quota_alone)
-		lw_log(LW_LOG_quota_alone, "alone=%d keepers=%s,%s", alone, p->quota_keeper[0],
-		       p->quota_keeper[1]);
+		lw_log(LW_LOG_quota_alone, "alone=%d keepers=%s,%s", alone, p->quota_coordinator[0],
+		       p->quota_coordinator[1]);
 	p->quota_alone = alone;
 }
 
-static bool has(char list[][LW_NAME_MAX], const char *node)
+static bool contains(char list[][LW_NAME_MAX], const char *node)
 {
 	for (uint32_t i = 0; i < LW_QUOTA_KEEPERS; i++)
 		if (strcmp(list[i], node) == 0)
@@ -64,16 +64,17 @@
 }
 
 /* the chosen one that has no place yet; empty: there is none */
-static const char *newcomer(const lw_proxy_t *p, char chosen[][LW_NAME_MAX])
+static const char *unassigned_coordinator(const lw_proxy_t *p, char chosen[][LW_NAME_MAX])
 {
 	for (uint32_t i = 0; i < LW_QUOTA_KEEPERS; i++)
-		if (chosen[i][0] && !has((char(*)[LW_NAME_MAX])p->quota_keeper, chosen[i]))
+		if (chosen[i][0] &&
+		    !contains((char(*)[LW_NAME_MAX])p->quota_coordinator, chosen[i]))
 			return chosen[i];
 	return "";
 }
 
 /* lw_proxy_quota_servers() - the list of backend servers has changed: other nodes may be keepers now. */
-void lw_proxy_quota_servers(lw_proxy_t *p, const lw_serverlist_t *sl)
+void lw_proxy_quota_update_servers(lw_proxy_t *p, const lw_serverlist_t *sl)
 {
 	char backends[LW_QUOTA_KEEPERS][LW_NAME_MAX];
 	char chosen[LW_QUOTA_KEEPERS][LW_NAME_MAX] = { { 0 } };
@@ -82,77 +83,78 @@
 	for (uint32_t i = 0; i < n; i++)
 		lw_place_node_addr(chosen[i], LW_NAME_MAX, backends[i], p->set->mesh_port);
 	for (uint32_t i = 0; i < LW_QUOTA_KEEPERS; i++) {
-		if (p->quota_keeper[i][0] && has(chosen, p->quota_keeper[i]))
+		if (p->quota_coordinator[i][0] && contains(chosen, p->quota_coordinator[i]))
 			continue;
-		lw_str_copy(p->quota_keeper[i], LW_NAME_MAX, lw_str_c(newcomer(p, chosen)));
+		lw_str_copy(p->quota_coordinator[i], LW_NAME_MAX,
+			    lw_str_c(unassigned_coordinator(p, chosen)));
 		lw_quota_lost(p->engine.quota, i);
 	}
 	lw_quota_set_nodes(p->engine.quota, (uint32_t)sl->nservers);
-	lw_quotakeeper_set_nodes(p->keeper, (uint32_t)sl->nservers);
+	lw_quotakeeper_set_nodes(p->coordinator, (uint32_t)sl->nservers);
 }
 
 /* lw_proxy_quota_config() - a configuration is in force; without organisations nothing is reported. */
-void lw_proxy_quota_config(lw_proxy_t *p)
+void lw_proxy_quota_update_config(lw_proxy_t *p)
 {
 	const lw_orgs_t *orgs = p->engine.conf->orgs;
 
 	if (!orgs) {
-		ev_timer_stop(p->hub.loop, &p->quota_step);
+		ev_timer_stop(p->hub.loop, &p->quota_timer);
 		return;
 	}
-	lw_quotakeeper_limits(p->keeper, orgs, p->hub.now_us);
-	ev_timer_start(p->hub.loop, &p->quota_step);
+	lw_quotakeeper_limits(p->coordinator, orgs, p->hub.now_us);
+	ev_timer_start(p->hub.loop, &p->quota_timer);
 }
 
 /* lw_proxy_quota_terms() - the terms of the settings have changed. */
-void lw_proxy_quota_terms(lw_proxy_t *p)
+void lw_proxy_quota_update_settings(lw_proxy_t *p)
 {
-	lw_quotaterms_t t = terms_of(p->set);
+	lw_quotaterms_t t = settings_terms(p->set);
 
 	lw_quota_set_terms(p->engine.quota, &t);
-	lw_quotakeeper_set_terms(p->keeper, &t);
+	lw_quotakeeper_set_terms(p->coordinator, &t);
 }
 
 /* lw_proxy_quota_node_lost() - the connection to @node is lost, and with it what a keeper was told. */
 void lw_proxy_quota_node_lost(lw_proxy_t *p, const char *node)
 {
 	for (uint32_t i = 0; i < LW_QUOTA_KEEPERS; i++)
-		if (strcmp(p->quota_keeper[i], node) == 0)
+		if (strcmp(p->quota_coordinator[i], node) == 0)
 			lw_quota_lost(p->engine.quota, i);
 }
 
 /* lw_proxy_quota_report() - a node reports to this one as a keeper; returns what it has to know. */
-size_t lw_proxy_quota_report(void *ctx, uint64_t node, const lw_quota_use_t *reported, size_t n,
-			     lw_quota_term_t *out, size_t most)
+size_t lw_proxy_quota_on_report(void *ctx, uint64_t node, const lw_quota_use_t *reported, size_t n,
+				lw_quota_term_t *out, size_t most)
 {
 	lw_proxy_t *p = ctx;
 	uint64_t now = p->hub.now_us;
 
-	lw_quotakeeper_took(p->keeper, node, reported, n, now);
-	return lw_quotakeeper_terms(p->keeper, reported, n, out, most, now);
+	lw_quotakeeper_took(p->coordinator, node, reported, n, now);
+	return lw_quotakeeper_terms(p->coordinator, reported, n, out, most, now);
 }
 
 /* lw_proxy_quota_told() - a keeper has answered; an answer to an older report says nothing new. */
-void lw_proxy_quota_told(void *ctx, const char *node, uint32_t number, const lw_quota_term_t *told,
-			 size_t n)
+void lw_proxy_quota_on_reply(void *ctx, const char *node, uint32_t number,
+			     const lw_quota_term_t *told, size_t n)
 {
 	lw_proxy_t *p = ctx;
 
 	for (uint32_t i = 0; i < LW_QUOTA_KEEPERS; i++)
-		if (number == p->quota_number[i] && strcmp(p->quota_keeper[i], node) == 0)
+		if (number == p->quota_number[i] && strcmp(p->quota_coordinator[i], node) == 0)
 			lw_quota_told(p->engine.quota, i, told, n, p->hub.now_us);
 }
 
 /* lw_proxy_quota_init() - nothing is limited before a configuration is known. */
 void lw_proxy_quota_init(lw_proxy_t *p)
 {
-	lw_quotaterms_t t = terms_of(p->set);
+	lw_quotaterms_t t = settings_terms(p->set);
 	uint64_t seed = (uint64_t)lw_hub_random(&p->hub, UINT32_MAX) << 32 |
 			lw_hub_random(&p->hub, UINT32_MAX);
 
 	p->quota_node = XXH3_64bits(p->mesh_addr, strlen(p->mesh_addr));
 	p->engine.quota = lw_quota_new(&t, seed);
-	p->keeper = lw_quotakeeper_new(&t, p->hub.now_us);
-	ev_timer_init(&p->quota_step, on_step, STEP_S, STEP_S);
-	p->quota_step.data = p;
+	p->coordinator = lw_quotakeeper_new(&t, p->hub.now_us);
+	ev_timer_init(&p->quota_timer, on_step, STEP_S, STEP_S);
+	p->quota_timer.data = p;
 }
--- a/src/proxyset.c
+++ b/src/proxyset.c
@@ -9,9 +9,9 @@
 #include "settings.h"
 #include "tomlkeys.h"
 
-#define KS(t, k, kind, field)                              \
-	{                                                  \
-		t, k, kind, offsetof(lw_proxyset_t, field) \
+#define KS(t, k, kind, field)                                    \
+	{                                                        \
+		t, k, kind, offsetof(lw_proxy_settings_t, field) \
 	}
 #define NKEYS (sizeof(keys) / sizeof(keys[0]))
 
@@ -40,13 +40,13 @@
 };
 
 /* lw_proxyset_retryterms() - the fleet's allowance of repeats. */
-lw_retryterms_t lw_proxyset_retryterms(const lw_proxyset_t *s)
+lw_retryterms_t lw_proxy_settings_retryterms(const lw_proxy_settings_t *s)
 {
 	return (lw_retryterms_t){ s->retry_ratio, s->retry_extra, s->retry_window_s };
 }
 
 /* lw_proxyset_defaults() - the settings before any file is read. */
-void lw_proxyset_defaults(lw_proxyset_t *s)
+void lw_proxy_settings_defaults(lw_proxy_settings_t *s)
 {
 	memset(s, 0, sizeof(*s));
 	s->memory_mb = 256;
@@ -64,22 +64,23 @@
 }
 
 /* lw_proxyset_load() - read the file at @path on top of @s and check it. */
-lw_status_t lw_proxyset_load(const char *path, lw_proxyset_t *s)
+lw_status_t lw_proxy_settings_load(const char *path, lw_proxy_settings_t *s)
 {
 	lw_status_t st = lw_tomlkeys_load(path, keys, NKEYS, s);
 
-	return st ? st : lw_proxyset_check(path, s);
+	return st ? st : lw_proxy_settings_check(path, s);
 }
 
 /* lw_proxyset_parse() - the same from memory; @name is used in messages. */
-lw_status_t lw_proxyset_parse(const char *name, const char *text, size_t len, lw_proxyset_t *s)
+lw_status_t lw_proxy_settings_parse(const char *name, const char *text, size_t len,
+				    lw_proxy_settings_t *s)
 {
 	lw_status_t st = lw_tomlkeys_parse(name, text, len, keys, NKEYS, s);
 
-	return st ? st : lw_proxyset_check(name, s);
+	return st ? st : lw_proxy_settings_check(name, s);
 }
 
-static lw_status_t check_addresses(const char *name, const lw_proxyset_t *s)
+static lw_status_t check_addresses(const char *name, const lw_proxy_settings_t *s)
 {
 	const char *const addrs[] = { s->backend, s->callers, s->ready, s->store };
 	char host[LW_NAME_MAX];
@@ -94,7 +95,7 @@
 }
 
 /* lw_proxyset_check() - the checks that do not depend on the file's shape. */
-lw_status_t lw_proxyset_check(const char *name, const lw_proxyset_t *s)
+lw_status_t lw_proxy_settings_check(const char *name, const lw_proxy_settings_t *s)
 {
 	if (!s->ip[0] || !s->zone[0] || !s->service[0])
 		return lw_error(
--- a/src/proxyset.h
+++ b/src/proxyset.h
@@ -8,7 +8,7 @@
 #include "retrylimit.h"
 #include "status.h"
 
-typedef struct lw_proxyset {
+typedef struct lw_proxy_settings {
 	/* [host] */
 	char ip[LW_NAME_MAX];
 	char zone[LW_NAME_MAX];
@@ -35,12 +35,13 @@
 	double quota_slack; /* and requests on top */
 	/* [log] */
 	uint32_t log_request_lines; /* about single requests, a second; 0: none */
-} lw_proxyset_t;
+} lw_proxy_settings_t;
 
-lw_retryterms_t lw_proxyset_retryterms(const lw_proxyset_t *s);
-void lw_proxyset_defaults(lw_proxyset_t *s);
-lw_status_t lw_proxyset_load(const char *path, lw_proxyset_t *s);
-lw_status_t lw_proxyset_parse(const char *name, const char *text, size_t len, lw_proxyset_t *s);
-lw_status_t lw_proxyset_check(const char *name, const lw_proxyset_t *s);
+lw_retryterms_t lw_proxy_settings_retryterms(const lw_proxy_settings_t *s);
+void lw_proxy_settings_defaults(lw_proxy_settings_t *s);
+lw_status_t lw_proxy_settings_load(const char *path, lw_proxy_settings_t *s);
+lw_status_t lw_proxy_settings_parse(const char *name, const char *text, size_t len,
+				    lw_proxy_settings_t *s);
+lw_status_t lw_proxy_settings_check(const char *name, const lw_proxy_settings_t *s);
 
 #endif
--- a/src/proxystats.c
+++ b/src/proxystats.c
@@ -42,7 +42,7 @@
 }
 
 /* lw_proxystats_put_status() - from the loop: the status; @text is owned from here on. */
-void lw_proxystats_put_status(char *text, size_t len)
+void lw_proxystats_set_status(char *text, size_t len)
 {
 	pthread_mutex_lock(&latest_lock);
 	free(status.text);
--- a/src/proxystats.h
+++ b/src/proxystats.h
@@ -45,6 +45,6 @@
 lw_status_t lw_proxystats_serve(const char *addr);
 void lw_proxystats_publish(const lw_proxystats_t *s);
 bool lw_proxystats_status_wanted(void);
-void lw_proxystats_put_status(char *text, size_t len);
+void lw_proxystats_set_status(char *text, size_t len);
 
 #endif
--- a/src/proxystatus.c
+++ b/src/proxystatus.c
@@ -61,7 +61,7 @@
 }
 
 /* where this node has its news from, to whom it passes it on, and what that costs */
-static void print_news(FILE *f, const lw_proxystatus_t *s)
+static void print_store_reading(FILE *f, const lw_proxystatus_t *s)
 {
 	uint64_t calls = 0;
 
@@ -70,8 +70,8 @@
 	fprintf(f,
 		"news: age_ms=%u from=%s reads_store=%s rank=%u told_nodes=%zu store_calls=%" PRIu64
 		" control_bytes=%" PRIu64 "\n",
-		s->news_age_ms, s->news_from[0] ? s->news_from : "none",
-		s->reads ? lw_feed_why_name(s->reads_why) : "no", s->spread->rank,
+		s->news_age_ms, s->peer_read_from[0] ? s->peer_read_from : "none",
+		s->reads_store ? lw_feed_why_name(s->reads_why) : "no", s->spread->rank,
 		s->spread->nchildren, calls, lw_mesh_control_bytes(s->mesh));
 }
 
@@ -110,8 +110,8 @@
 		return;
 	fprintf(f, "limits: organisations=%zu alone=%d keepers=%s,%s\n",
 		lw_orgs_count(e->conf->orgs), lw_quota_alone(e->quota, e->hub->now_us),
-		s->quota_keeper[0][0] ? s->quota_keeper[0] : "none",
-		s->quota_keeper[1][0] ? s->quota_keeper[1] : "none");
+		s->quota_coordinator[0][0] ? s->quota_coordinator[0] : "none",
+		s->quota_coordinator[1][0] ? s->quota_coordinator[1] : "none");
 	for (size_t i = 0; i < n; i++)
 		fprintf(f,
 			"organisation %s: limit_per_s=%.0f asked=%" PRIu64 " over_limit=%" PRIu64
@@ -140,7 +140,7 @@
 		"failing_permille=%u\n",
 		e->gate.server_id, lw_gate_leaving(&e->gate), own.running, own.queued, own.limit,
 		own.service_us / 1000, own.level, own.failing);
-	print_news(f, s);
+	print_store_reading(f, s);
 	print_suspects(f, e);
 	print_organisations(f, s);
 	print_services(f, e);
--- a/src/proxystatus.h
+++ b/src/proxystatus.h
@@ -21,11 +21,12 @@
 	uint32_t news_age_ms;
 	bool ready;
 	bool reader;
-	bool reads; /* the store, now */
+	bool reads_store; /* the store, now */
 	lw_feed_why_t reads_why;
-	const char *news_from; /* the node that told the newest news of others; empty: none did */
+	const char
+		*peer_read_from; /* the node that told the newest news of others; empty: none did */
 	const lw_spread_t *spread;
-	const char (*quota_keeper)[LW_NAME_MAX]; /* LW_QUOTA_KEEPERS of them */
+	const char (*quota_coordinator)[LW_NAME_MAX]; /* LW_QUOTA_KEEPERS of them */
 	const lw_mesh_stats_t *mesh;
 	const lw_feed_stats_t *feed;
 } lw_proxystatus_t;
--- a/src/proxystop.c
+++ b/src/proxystop.c
@@ -33,7 +33,7 @@
  * loop still acts on what has arrived in this turn, and a request taken then
  * would be passed on with nobody left to wait for its answer.
  */
-static void leave(lw_proxy_t *p)
+static void close_everything(lw_proxy_t *p)
 {
 	lw_engine_end_all(&p->engine);
 	lw_callers_end(p->callers);
@@ -41,11 +41,11 @@
 }
 
 /* the next steps of a stop */
-static void go_on_stopping(struct ev_loop *loop, ev_timer *w, int revents)
+static void on_stop_step(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_proxy_t *p = w->data;
 	lw_stopstate_t state = {
-		.since_us = p->hub.now_us - p->leaving_us,
+		.since_us = p->hub.now_us - p->stop_began_us,
 		.grace_us = p->stop_grace_us,
 		.oldest_us = oldest_request_us(p),
 		.refusing_us = p->refusing_us ? p->hub.now_us - p->refusing_us : 0,
@@ -72,7 +72,7 @@
 		lw_callers_close_listeners(p->callers);
 	if (plan.exit) {
 		log_step(p, state.oldest_us ? "exit_cutting_off" : "exit", &state);
-		leave(p);
+		close_everything(p);
 		ev_break(loop, EVBREAK_ALL);
 	}
 }
@@ -88,10 +88,10 @@
 	lw_log(LW_LOG_stopping, "signal=%d active=%u running=%u", w->signum, p->engine.active,
 	       p->engine.gate.ncalls);
 	p->hub.leaving = true;
-	p->leaving_us = p->hub.now_us;
+	p->stop_began_us = p->hub.now_us;
 	p->stop_grace_us = (uint64_t)(p->set->grace_s * 1e6);
-	p->hub.exit_us = p->leaving_us + lw_stopplan_exit_us(p->stop_grace_us);
-	ev_timer_init(&p->stopping, go_on_stopping, LW_STOPPLAN_STEP_S, LW_STOPPLAN_STEP_S);
-	p->stopping.data = p;
-	ev_timer_start(loop, &p->stopping);
+	p->hub.exit_us = p->stop_began_us + lw_stopplan_exit_us(p->stop_grace_us);
+	ev_timer_init(&p->stop_timer, on_stop_step, LW_STOPPLAN_STEP_S, LW_STOPPLAN_STEP_S);
+	p->stop_timer.data = p;
+	ev_timer_start(loop, &p->stop_timer);
 }
--- a/src/tomlshim.cc
+++ b/src/tomlshim.cc
@@ -37,12 +37,12 @@
 	toml::table root;
 };
 
-static const toml::node *N(const lw_toml_node_t *n)
+static const toml::node *to_node(const lw_toml_node_t *n)
 {
 	return reinterpret_cast<const toml::node *>(n);
 }
 
-static const lw_toml_node_t *C(const toml::node *n)
+static const lw_toml_node_t *to_handle(const toml::node *n)
 {
 	return reinterpret_cast<const lw_toml_node_t *>(n);
 }
@@ -75,15 +75,15 @@
 // lw_toml_root() - the top-level table of @doc.
 extern "C" const lw_toml_node_t *lw_toml_root(const lw_toml_doc_t *doc)
 {
-	return C(&doc->root);
+	return to_handle(&doc->root);
 }
 
 // lw_toml_get() - the value under @key of @table, or NULL.
 extern "C" const lw_toml_node_t *lw_toml_get(const lw_toml_node_t *table, const char *key)
 {
-	if (!table || !N(table)->is_table())
+	if (!table || !to_node(table)->is_table())
 		return nullptr;
-	return C(N(table)->as_table()->get(key));
+	return to_handle(to_node(table)->as_table()->get(key));
 }
 
 // lw_toml_type() - what kind of value @node is; LW_TOML_NONE for NULL.
@@ -91,7 +91,7 @@
 {
 	if (!node)
 		return LW_TOML_NONE;
-	switch (N(node)->type()) {
+	switch (to_node(node)->type()) {
 	case toml::node_type::table:
 		return LW_TOML_TABLE;
 	case toml::node_type::array:
@@ -112,7 +112,7 @@
 // lw_toml_line() - the source line where @node starts, 0 if unknown.
 extern "C" int lw_toml_line(const lw_toml_node_t *node)
 {
-	return node ? (int)N(node)->source().begin.line : 0;
+	return node ? (int)to_node(node)->source().begin.line : 0;
 }
 
 // lw_toml_len() - number of items of an array or keys of a table.
@@ -120,9 +120,9 @@
 {
 	if (!node)
 		return 0;
-	if (auto *a = N(node)->as_array())
+	if (auto *a = to_node(node)->as_array())
 		return a->size();
-	if (auto *t = N(node)->as_table())
+	if (auto *t = to_node(node)->as_table())
 		return t->size();
 	return 0;
 }
@@ -130,26 +130,26 @@
 // lw_toml_at() - item @i of an array, or NULL.
 extern "C" const lw_toml_node_t *lw_toml_at(const lw_toml_node_t *array, size_t i)
 {
-	if (!array || !N(array)->is_array())
+	if (!array || !to_node(array)->is_array())
 		return nullptr;
-	return C(N(array)->as_array()->get(i));
+	return to_handle(to_node(array)->as_array()->get(i));
 }
 
 // lw_toml_each() - call @fn for each key of @table in document order.
 extern "C" void lw_toml_each(const lw_toml_node_t *table, lw_toml_each_fn fn, void *ctx)
 {
-	if (!table || !N(table)->is_table())
+	if (!table || !to_node(table)->is_table())
 		return;
-	for (auto &&[k, v] : *N(table)->as_table())
-		fn(k.str().data(), k.str().size(), C(&v), ctx);
+	for (auto &&[k, v] : *to_node(table)->as_table())
+		fn(k.str().data(), k.str().size(), to_handle(&v), ctx);
 }
 
 // lw_toml_str() - the bytes of a string value, not NUL-terminated.
 extern "C" bool lw_toml_str(const lw_toml_node_t *node, const char **ptr, size_t *len)
 {
-	if (!node || !N(node)->is_string())
+	if (!node || !to_node(node)->is_string())
 		return false;
-	const std::string &s = N(node)->as_string()->get();
+	const std::string &s = to_node(node)->as_string()->get();
 	*ptr = s.data();
 	*len = s.size();
 	return true;
@@ -158,9 +158,9 @@
 // lw_toml_int() - an integer value.
 extern "C" bool lw_toml_int(const lw_toml_node_t *node, int64_t *out)
 {
-	if (!node || !N(node)->is_integer())
+	if (!node || !to_node(node)->is_integer())
 		return false;
-	*out = N(node)->as_integer()->get();
+	*out = to_node(node)->as_integer()->get();
 	return true;
 }
 
@@ -169,12 +169,12 @@
 {
 	if (!node)
 		return false;
-	if (N(node)->is_floating_point()) {
-		*out = N(node)->as_floating_point()->get();
+	if (to_node(node)->is_floating_point()) {
+		*out = to_node(node)->as_floating_point()->get();
 		return true;
 	}
-	if (N(node)->is_integer()) {
-		*out = (double)N(node)->as_integer()->get();
+	if (to_node(node)->is_integer()) {
+		*out = (double)to_node(node)->as_integer()->get();
 		return true;
 	}
 	return false;
@@ -183,8 +183,8 @@
 // lw_toml_bool() - a boolean value.
 extern "C" bool lw_toml_bool(const lw_toml_node_t *node, bool *out)
 {
-	if (!node || !N(node)->is_boolean())
+	if (!node || !to_node(node)->is_boolean())
 		return false;
-	*out = N(node)->as_boolean()->get();
+	*out = to_node(node)->as_boolean()->get();
 	return true;
 }
--- a/src/wirenames.h
+++ b/src/wirenames.h
@@ -13,7 +13,7 @@
 	LW_HEADER_DEADLINE, /* milliseconds the caller will wait */
 	LW_HEADER_TARGET, /* id of the backend server a request is meant for */
 	LW_HEADER_CALLER, /* service of the host where a request began */
-	LW_HEADER_NOT_RUN, /* in answers: the request was not run */
+	LW_HEADER_NOT_EXECUTED, /* in answers: the request was not run */
 	LW_HEADER_LOAD, /* in answers: running, waiting, slots */
 	LW_HEADER_INSTANCE, /* in answers: id of the backend server */
 	LW_HEADER_LEAVING, /* in answers: the backend server leaves */
--- a/tests/decide_route.c
+++ b/tests/decide_route.c
@@ -23,7 +23,7 @@
 static void do_routes_seal(world_t *w, const words_t *a)
 {
 	(void)a;
-	lw_fleetconf_seal(w->conf);
+	lw_fleetconf_finish(w->conf);
 }
 
 static void do_route(world_t *w, const words_t *a)
--- a/tests/test_documents.c
+++ b/tests/test_documents.c
@@ -177,10 +177,10 @@
 
 static lw_status_t parse(const char *text)
 {
-	lw_proxyset_t s;
+	lw_proxy_settings_t s;
 
-	lw_proxyset_defaults(&s);
-	return lw_proxyset_parse("test", text, strlen(text), &s);
+	lw_proxy_settings_defaults(&s);
+	return lw_proxy_settings_parse("test", text, strlen(text), &s);
 }
 
 static void test_settings(void)
