--- a/src/fleetconf.c
+++ b/src/fleetconf.c
@@ -1,4 +1,7 @@
-/* Snapshots of the configuration and of the backend servers; see fleetconf.h. */
+/*
+ * Snapshots of the configuration and of the list of backend servers; see
+ * fleetconf.h.
+ */
 #include "fleetconf.h"
 
 #include <ctype.h>
@@ -17,7 +20,7 @@
 	return xcalloc(1, sizeof(lw_fleetconf_t));
 }
 
-/* lw_fleetconf_free() - release a configuration; NULL is fine. */
+/* lw_fleetconf_free() - releases a configuration; NULL is allowed. */
 void lw_fleetconf_free(lw_fleetconf_t *fc)
 {
 	if (!fc)
@@ -34,7 +37,7 @@
 	free(fc);
 }
 
-/* host names compare without regard to case; paths do not */
+/* host names are matched case-insensitively, paths case-sensitively */
 static size_t make_key(char *dst, lw_str_t host, lw_str_t path)
 {
 	for (size_t i = 0; i < host.len; i++)
@@ -44,7 +47,7 @@
 	return host.len + 1 + path.len;
 }
 
-/* lw_fleetconf_add() - add a route for paths of @host that begin with @prefix. */
+/* lw_fleetconf_add() - adds a route for paths of @host that begin with @prefix. */
 lw_fleet_route_t *lw_fleetconf_add(lw_fleetconf_t *fc, lw_str_t host, lw_str_t prefix)
 {
 	lw_fleet_route_t *r;
@@ -57,7 +60,10 @@
 	return r;
 }
 
-/* lw_fleet_route_split() - give @service a share of the route by @weight. */
+/*
+ * lw_fleet_route_split() - adds @service to the destinations of the route, with a
+ * share by @weight.
+ */
 void lw_fleet_route_split(lw_fleet_route_t *r, lw_str_t service, uint32_t weight)
 {
 	lw_split_t *s;
@@ -69,7 +75,10 @@
 	s->weight = weight;
 }
 
-/* lw_fleetconf_add_service() - add a service; @health: path of its health check or empty. */
+/*
+ * lw_fleetconf_add_service() - adds a service; @health is the path of its health
+ * check or empty.
+ */
 void lw_fleetconf_add_service(lw_fleetconf_t *fc, lw_str_t name, lw_str_t health)
 {
 	lw_fleet_service_t *s;
@@ -81,7 +90,7 @@
 	lw_str_copy(s->health, sizeof(s->health), health);
 }
 
-/* lw_fleetconf_service() - the service @name, NULL if the configuration has none. */
+/* lw_fleetconf_service() - the service @name; NULL if the configuration has none. */
 const lw_fleet_service_t *lw_fleetconf_service(const lw_fleetconf_t *fc, const char *name)
 {
 	for (size_t i = 0; i < fc->nservices; i++)
@@ -113,7 +122,7 @@
 	return key_cmp(x->key, x->keylen, y->key, y->keylen);
 }
 
-/* sorted, each value once; returns how many are left */
+/* Sorts and removes duplicates; returns the number of distinct values. */
 static size_t sort_distinct(uint32_t *v, size_t n)
 {
 	size_t kept = 0;
@@ -140,7 +149,10 @@
 	fc->nroute_priorities = sort_distinct(routes, fc->nroutes);
 }
 
-/* lw_fleetconf_seal() - sort what was added; call once after the last route and organisation. */
+/*
+ * lw_fleetconf_finish() - sorts what was added; call once after the last route
+ * and organisation.
+ */
 void lw_fleetconf_finish(lw_fleetconf_t *fc)
 {
 	if (fc->nroutes)
@@ -149,7 +161,10 @@
 		collect_priorities(fc);
 }
 
-/* the place of the first value that is not below @value; of the last one if all are */
+/*
+ * Returns the index of the first value that is not below @value; of the last
+ * value if all are.
+ */
 static size_t index_among(const uint32_t *v, size_t n, uint32_t value)
 {
 	size_t i = 0;
@@ -159,7 +174,7 @@
 	return i;
 }
 
-/* the places of an organisation's and a route's priority as one number */
+/* Combines the indexes of an organisation's and a route's priority into one number. */
 static uint32_t combined_priority(const lw_fleetconf_t *fc, size_t org_place, size_t route_place)
 {
 	size_t all = fc->norg_priorities * fc->nroute_priorities;
@@ -169,10 +184,11 @@
 }
 
 /*
- * lw_fleetconf_priority() - the priority of a request of @org on @r: that of the
- * organisation first, that of the route among equals. Counted without gaps, as
- * ranks that no request has cost the levels time when they rise. @org NULL: it
- * counts as one of the usual priority.
+ * lw_fleetconf_priority() - the priority of a request of @org on route @r: by the
+ * priority of the organisation first, then by that of the route. Priorities are
+ * numbered without gaps, as priorities that no request has would slow down the
+ * rise of the admission threshold. If @org is NULL, the default priority of
+ * organisations is used.
  */
 uint32_t lw_fleetconf_priority(const lw_fleetconf_t *fc, const lw_organisation_t *org,
 			       const lw_fleet_route_t *r)
@@ -187,8 +203,9 @@
 }
 
 /*
- * lw_fleetconf_most_urgent() - whether requests of @priority, as told by
- * lw_fleetconf_priority(), are of the most urgent routes, whichever organisation asks.
+ * lw_fleetconf_most_urgent() - whether @priority, as returned by
+ * lw_fleetconf_priority(), belongs to the most urgent routes, for any
+ * organisation.
  */
 bool lw_fleetconf_most_urgent(const lw_fleetconf_t *fc, uint32_t priority)
 {
@@ -218,9 +235,9 @@
 }
 
 /*
- * lw_fleetconf_match() - the route of @host with the longest prefix that
- * begins @path; NULL if there is none. One binary search for each segment of
- * the path, so hundreds of routes cost no more than a few.
+ * lw_fleetconf_match() - the route of @host with the longest prefix of @path;
+ * NULL if there is none. Does one binary search per segment of the path, so
+ * hundreds of routes cost hardly more than a few.
  */
 lw_fleet_route_t *lw_fleetconf_match(const lw_fleetconf_t *fc, lw_str_t host, lw_str_t path)
 {
@@ -249,9 +266,9 @@
 }
 
 /*
- * lw_fleet_route_next() - the service the next request of @r goes to, by
- * smooth weighted round robin: over any run of requests each part gets its
- * share to within one request, whatever room the others have.
+ * lw_fleet_route_next() - the service for the next request of route @r, by smooth
+ * weighted round robin: in any sequence of requests each service gets its share
+ * to within one request, whatever capacity the other services have.
  */
 const char *lw_fleet_route_next(lw_fleet_route_t *r)
 {
@@ -270,7 +287,7 @@
 	return best->service;
 }
 
-/* lw_serverlist_copy() - the same list; the caller owns it. */
+/* lw_serverlist_copy() - returns a copy of the list, owned by the caller. */
 lw_serverlist_t *lw_serverlist_copy(const lw_serverlist_t *sl)
 {
 	lw_serverlist_t *copy = xcalloc(1, sizeof(*copy));
@@ -283,7 +300,7 @@
 	return copy;
 }
 
-/* lw_serverlist_free() - release a list of backend servers; NULL is fine. */
+/* lw_serverlist_free() - releases a list of backend servers; NULL is allowed. */
 void lw_serverlist_free(lw_serverlist_t *sl)
 {
 	if (!sl)
--- a/src/fleetconf.h
+++ b/src/fleetconf.h
@@ -1,7 +1,7 @@
 /*
- * What operators and backend servers publish, as immutable snapshots: the
- * configuration (routes, limits) and the list of backend servers. The adapter
- * in platform/ builds them; the request loop reads them.
+ * Immutable snapshots of what operators and backend servers publish: the
+ * configuration (routes, limits) and the list of backend servers. The adapter in
+ * platform/ builds them; the event loop reads them.
  */
 #ifndef LW_FLEETCONF_H
 #define LW_FLEETCONF_H
@@ -18,20 +18,23 @@
 typedef struct lw_split {
 	char service[LW_NAME_MAX];
 	uint32_t weight;
-	int64_t current; /* smooth weighted round robin; used by the request loop only */
+	int64_t current; /* state of the smooth weighted round robin; used by the event loop only */
 } lw_split_t;
 
-/* A rule of the configuration: which requests go where, and on what terms. */
+/*
+ * A rule of the configuration: destinations, priority and timeouts of matching
+ * requests.
+ */
 typedef struct lw_fleet_route {
 	char *key; /* host, a zero byte, path prefix */
 	size_t keylen;
 	char name[LW_NAME_MAX];
-	bool idempotent; /* may run more than once */
+	bool idempotent; /* may be executed more than once */
 	uint32_t priority; /* 0 is the most urgent */
-	bool open; /* for requests without a key, also where organisations are known */
-	uint32_t timeout_ms; /* longest wait of the caller */
+	bool open; /* accepts requests without a key even if organisations are configured */
+	uint32_t timeout_ms; /* longest time a caller waits for the answer */
 	uint32_t target_ms; /* latency objective */
-	uint32_t max_attempts; /* backend servers one request may be given to */
+	uint32_t max_attempts; /* most backend servers one request is sent to */
 	lw_split_t *splits;
 	size_t nsplits;
 } lw_fleet_route_t;
@@ -39,10 +42,10 @@
 /* A service whose backend servers register themselves. */
 typedef struct lw_fleet_service {
 	char name[LW_NAME_MAX];
-	char health[LW_NAME_MAX]; /* path of its health check; empty: none told */
+	char health[LW_NAME_MAX]; /* path of the health check; empty: none configured */
 } lw_fleet_service_t;
 
-/* What callers may send. */
+/* Limits on requests of callers. */
 typedef struct lw_fleet_limits {
 	uint32_t max_header_bytes;
 	uint64_t max_body_bytes;
@@ -57,28 +60,28 @@
 	size_t nroutes;
 	lw_fleet_service_t *services;
 	size_t nservices;
-	lw_orgs_t *orgs; /* NULL: requests carry no keys */
-	uint32_t *priorities; /* priorities of organisations, in order; then those of routes */
+	lw_orgs_t *orgs; /* NULL: no organisations, requests carry no keys */
+	uint32_t *priorities; /* sorted priorities of organisations, then of routes */
 	size_t norg_priorities;
 	size_t nroute_priorities;
-	char *text; /* the document as published, for other nodes */
+	char *text; /* the document as published, sent to other nodes */
 	size_t textlen;
 } lw_fleetconf_t;
 
-/* A backend server as it registered itself. */
+/* A backend server's entry as the server registered it. */
 typedef struct lw_server_entry {
-	char id[LW_NAME_MAX]; /* kept when it starts anew */
-	uint64_t born_ms; /* Unix time of its start: tells its processes apart; 0: not told */
+	char id[LW_NAME_MAX]; /* stays the same when the server restarts */
+	uint64_t born_ms; /* Unix time of the process start: distinguishes processes; 0: unknown */
 	char service[LW_NAME_MAX];
 	char addr[LW_NAME_MAX]; /* "ip:port" of the backend server itself */
 	char zone[LW_NAME_MAX];
 	uint32_t slots;
 	bool draining;
-	uint64_t created; /* place in the store's history; orders entries that share an address */
+	uint64_t created; /* position in the store; orders entries of one address */
 } lw_server_entry_t;
 
 typedef struct lw_serverlist {
-	uint64_t revision; /* place in the store's history when it was read, see storepos.h */
+	uint64_t revision; /* position in the store's history at the read, see storepos.h */
 	lw_server_entry_t *servers;
 	size_t nservers;
 } lw_serverlist_t;
--- a/src/proxyset.c
+++ b/src/proxyset.c
@@ -39,13 +39,13 @@
 	KS("log", "request_lines_per_s", LW_KEY_U32, log_request_lines),
 };
 
-/* lw_proxyset_retryterms() - the fleet's allowance of repeats. */
+/* lw_proxy_settings_retryterms() - the fleet-wide limits on retries. */
 lw_retryterms_t lw_proxy_settings_retryterms(const lw_proxy_settings_t *s)
 {
 	return (lw_retryterms_t){ s->retry_ratio, s->retry_extra, s->retry_window_s };
 }
 
-/* lw_proxyset_defaults() - the settings before any file is read. */
+/* lw_proxy_settings_defaults() - the settings before a file is read. */
 void lw_proxy_settings_defaults(lw_proxy_settings_t *s)
 {
 	memset(s, 0, sizeof(*s));
@@ -63,7 +63,10 @@
 	s->log_request_lines = LW_LOG_REQUEST_LINES;
 }
 
-/* lw_proxyset_load() - read the file at @path on top of @s and check it. */
+/*
+ * lw_proxy_settings_load() - applies the file at @path on top of @s and checks
+ * the result. LW_ERR_SETTINGS with a message that names the key and the remedy.
+ */
 lw_status_t lw_proxy_settings_load(const char *path, lw_proxy_settings_t *s)
 {
 	lw_status_t st = lw_tomlkeys_load(path, keys, NKEYS, s);
@@ -71,7 +74,10 @@
 	return st ? st : lw_proxy_settings_check(path, s);
 }
 
-/* lw_proxyset_parse() - the same from memory; @name is used in messages. */
+/*
+ * lw_proxy_settings_parse() - like lw_proxy_settings_load(), from memory; @name
+ * is used in messages.
+ */
 lw_status_t lw_proxy_settings_parse(const char *name, const char *text, size_t len,
 				    lw_proxy_settings_t *s)
 {
@@ -94,7 +100,7 @@
 	return LW_OK;
 }
 
-/* lw_proxyset_check() - the checks that do not depend on the file's shape. */
+/* lw_proxy_settings_check() - checks the values, whatever source they came from. */
 lw_status_t lw_proxy_settings_check(const char *name, const lw_proxy_settings_t *s)
 {
 	if (!s->ip[0] || !s->zone[0] || !s->service[0])
@@ -109,10 +115,9 @@
 				"%s: [listen] mesh_port must be 1..65535; choose a free port",
 				name);
 	if (s->memory_mb < 32 || s->max_fds < 256)
-		return lw_error(
-			LW_ERR_SETTINGS,
-			"%s: [host] memory_mb below 32 or max_fds below 256; give the process more",
-			name);
+		return lw_error(LW_ERR_SETTINGS,
+				"%s: [host] memory_mb is below 32 or max_fds below 256; raise them",
+				name);
 	if (s->grace_s < 1 || s->drain_s <= 0 || s->heartbeat_s <= 0 || s->retry_window_s <= 0)
 		return lw_error(
 			LW_ERR_SETTINGS,
@@ -126,7 +131,7 @@
 	if (s->log_request_lines > LW_LOG_REQUEST_LINES_MAX)
 		return lw_error(
 			LW_ERR_SETTINGS,
-			"%s: [log] request_lines_per_s above %d; each line costs the host's processor",
+			"%s: [log] request_lines_per_s above %d; each line costs CPU time of the host",
 			name, LW_LOG_REQUEST_LINES_MAX);
 	if (s->retry_ratio < 0 || s->retry_extra < 0)
 		return lw_error(
--- a/src/proxyset.h
+++ b/src/proxyset.h
@@ -12,29 +12,29 @@
 	/* [host] */
 	char ip[LW_NAME_MAX];
 	char zone[LW_NAME_MAX];
-	char service[LW_NAME_MAX]; /* of the backend server on this host */
+	char service[LW_NAME_MAX]; /* service of the backend server on this host */
 	char backend[LW_NAME_MAX]; /* "ip:port" of that backend server */
-	uint32_t memory_mb; /* most this process may use */
-	uint32_t max_fds; /* most descriptors it may hold */
+	uint32_t memory_mb; /* memory limit of this process */
+	uint32_t max_fds; /* limit of open file descriptors */
 	/* [listen] */
-	char callers[LW_NAME_MAX]; /* callers and the backend server's own calls */
-	char ready[LW_NAME_MAX]; /* the platform asks whether callers may come */
+	char callers[LW_NAME_MAX]; /* for callers and for the backend server's own calls */
+	char ready[LW_NAME_MAX]; /* readiness checks of the platform */
 	char metrics[LW_NAME_MAX]; /* empty: not served */
-	uint32_t mesh_port; /* frames from other nodes; the same on all hosts */
+	uint32_t mesh_port; /* for frames from other nodes; the same on all hosts */
 	/* [store] */
 	char store[LW_NAME_MAX]; /* "ip:port" */
 	/* [terms] */
-	double heartbeat_s; /* period of a backend server's entry */
-	double drain_s; /* a leaving backend server may get work so much longer */
+	double heartbeat_s; /* interval at which a backend server renews its entry */
+	double drain_s; /* how long a leaving backend server may still receive requests */
 	double grace_s; /* from SIGTERM to SIGKILL */
-	double retry_ratio; /* retries for each request of a service, fleet-wide */
-	double retry_extra; /* retries allowed on top in each window, fleet-wide */
+	double retry_ratio; /* retries per request of a service, fleet-wide */
+	double retry_extra; /* additional retries in each window, fleet-wide */
 	double retry_window_s;
-	double quota_window_s; /* span in which limits of organisations are checked */
-	double quota_overage; /* part by which one may be exceeded then */
-	double quota_slack; /* and requests on top */
+	double quota_window_s; /* window over which limits of organisations are checked */
+	double quota_overage; /* fraction by which a limit may be exceeded in the window */
+	double quota_slack; /* additional requests allowed in the window */
 	/* [log] */
-	uint32_t log_request_lines; /* about single requests, a second; 0: none */
+	uint32_t log_request_lines; /* lines per second about single requests; 0: none */
 } lw_proxy_settings_t;
 
 lw_retryterms_t lw_proxy_settings_retryterms(const lw_proxy_settings_t *s);
