--- a/src/proxy.c
+++ b/src/proxy.c
@@ -1,4 +1,4 @@
-/* The proxy as a whole; see proxy.h. */
+/* The proxy process; see proxy.h. */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
@@ -10,7 +10,10 @@
 #include "proxystats.h"
 #include "proxystatus.h"
 
-/* SIGHUP: the terms may have changed; addresses stay as they are until a restart */
+/*
+ * SIGHUP reloads the drain, grace, retry, quota and log settings; all others
+ * change only at a restart.
+ */
 static void on_hangup(struct ev_loop *loop, ev_signal *w, int revents)
 {
 	lw_proxy_t *p = w->data;
@@ -105,10 +108,10 @@
 }
 
 /*
- * lw_proxy_mask_signals() - block or unblock the signals the loop handles;
- * @how is SIG_BLOCK or SIG_UNBLOCK. Blocked from the start of main() on, a
- * signal that comes before the loop runs stops it in order instead of killing
- * it, and threads begun meanwhile never take one.
+ * lw_proxy_mask_signals() - blocks or unblocks the signals that the event loop
+ * handles; @how is SIG_BLOCK or SIG_UNBLOCK. main() blocks them first of all: a
+ * signal that arrives before the event loop runs then stops the process in order
+ * instead of killing it, and threads started meanwhile never receive one.
  */
 void lw_proxy_mask_signals(int how)
 {
@@ -152,8 +155,8 @@
 }
 
 /*
- * lw_proxy_run() - run until SIGTERM and the end of what was under way. Fails
- * only at the start, with the reason in lw_error_last().
+ * lw_proxy_run() - runs until SIGTERM and until the requests in progress have
+ * ended. Fails only during startup, with the reason in lw_error_last().
  */
 lw_status_t lw_proxy_run(lw_proxy_settings_t *set, const char *path, const lw_platform_t *platform)
 {
--- a/src/proxy.h
+++ b/src/proxy.h
@@ -1,4 +1,4 @@
-/* The proxy as a whole: the request loop, its parts, start and stop. */
+/* The proxy process: sets up the event loop and its modules, runs and stops them. */
 #ifndef LW_PROXY_H
 #define LW_PROXY_H
 
--- a/src/proxy_int.h
+++ b/src/proxy_int.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the proxy module only; others use proxy.h. */
+/* Internal state and functions of the proxy module; other modules use proxy.h. */
 #ifndef LW_PROXY_INT_H
 #define LW_PROXY_INT_H
 
@@ -15,7 +15,7 @@
 
 typedef struct lw_proxy {
 	lw_proxy_settings_t *set;
-	const char *path; /* of the settings file */
+	const char *path; /* path of the settings file */
 	const lw_platform_t *platform;
 	lw_hub_t hub;
 	lw_engine_t engine;
@@ -26,38 +26,38 @@
 	ev_signal interrupt;
 	ev_signal hangup;
 	uint64_t stop_began_us;
-	uint64_t refusing_us; /* others were told that nothing is taken; 0: they were not */
-	uint64_t stop_grace_us; /* from SIGTERM to SIGKILL, as it was at SIGTERM */
-	ev_timer stop_timer; /* runs from then on */
-	bool server_was_listed; /* the list has had the backend server on this host */
-	lw_serverlist_t *servers; /* in use; NULL before the first */
-	uint64_t store_read_us; /* when the store was last known to have been read */
-	uint64_t urgent_read_us; /* when the store was last asked out of turn */
-	uint64_t peer_read_us; /* when another node last read it, as far as told */
-	char peer_read_from[LW_NAME_MAX]; /* the node that told so */
-	uint64_t forwarded_us; /* the news that was passed on last */
+	uint64_t refusing_us; /* start of refusing requests; 0: not yet */
+	uint64_t stop_grace_us; /* time from SIGTERM to SIGKILL, as set when SIGTERM arrived */
+	ev_timer stop_timer; /* runs from SIGTERM on */
+	bool server_was_listed; /* a previous list contained the backend server on this host */
+	lw_serverlist_t *servers; /* list in use; NULL before the first one */
+	uint64_t store_read_us; /* time of the last known store read, by this or another node */
+	uint64_t urgent_read_us; /* time of the last urgent read of the store */
+	uint64_t peer_read_us; /* time of the last reported store read by another node */
+	char peer_read_from[LW_NAME_MAX]; /* the node that reported it */
+	uint64_t forwarded_us; /* store_read_us as last forwarded to other nodes */
 	uint64_t read_until_us; /* this node reads the store itself until then */
 	bool reads_store; /* this node reads the store itself */
 	lw_feed_why_t reads_why;
 	ev_timer query_timer;
-	lw_spread_t spread; /* this node's part in spreading news */
-	lw_revdoc_t documents[2]; /* the configuration, the list of backend servers */
-	char mesh_addr[LW_NAME_MAX]; /* of this node, as others know it */
-	lw_lease_t lease; /* of the backend server on this host */
-	lw_probe_t probe; /* while its entry is missing */
-	ev_timer lease_timer; /* likewise */
-	uint64_t last_check_us; /* when the server was last asked and others told */
-	lw_probe_t limit_probe; /* while the server names a limit and is not heard */
-	uint64_t limit_probe_us; /* when it was last asked for that */
-	lw_notice_limit_t announced_limit; /* as others and the log heard it last */
-	uint64_t logged_invalid; /* answers with a limit that is no number, as logged last */
-	lw_quotakeeper_t *coordinator; /* of limits, should other nodes take this one for one */
+	lw_spread_t spread; /* this node's part in the dissemination of store updates */
+	lw_revdoc_t documents[2]; /* the configuration and the list of backend servers */
+	char mesh_addr[LW_NAME_MAX]; /* mesh address of this node, as other nodes know it */
+	lw_lease_t lease; /* lease of the backend server on this host */
+	lw_probe_t probe; /* health check, used while the entry of the server is missing */
+	ev_timer lease_timer; /* runs while the entry is missing */
+	uint64_t last_check_us; /* time of the last health check and liveness assertion */
+	lw_probe_t limit_probe; /* health check, used while an announced limit is unconfirmed */
+	uint64_t limit_probe_us; /* time of the last limit_probe */
+	lw_notice_limit_t announced_limit; /* limit as last logged and reported to other nodes */
+	uint64_t logged_invalid; /* number of answers with an invalid limit, as last logged */
+	lw_quotakeeper_t *coordinator; /* used if other nodes choose this node */
 	char quota_coordinator[LW_QUOTA_KEEPERS][LW_NAME_MAX]; /* mesh addresses; empty: none */
 	uint64_t quota_node; /* digest of this node's address */
-	uint32_t quota_number[LW_QUOTA_KEEPERS]; /* of the newest report */
-	bool quota_alone; /* none is heard of, as logged last */
-	ev_timer quota_timer; /* runs while organisations are known */
-	uint64_t born_ms; /* start of the server's process; 0: not told */
+	uint32_t quota_number[LW_QUOTA_KEEPERS]; /* newest report to each */
+	bool quota_alone; /* no coordinator replies, as last logged */
+	ev_timer quota_timer; /* runs while the configuration has organisations */
+	uint64_t born_ms; /* start of the backend server's process, Unix time; 0: unknown */
 } lw_proxy_t;
 
 extern const lw_mesh_ops_t lw_proxy_mesh_ops;
--- a/src/proxycrash.c
+++ b/src/proxycrash.c
@@ -1,6 +1,7 @@
 /*
- * What follows for the fleet when the backend server on this host ends: quarantine.c
- * decides, here its evidence is gathered and passed on.
+ * Reports a crash of the backend server on this host to the quarantine and to the
+ * other nodes, so that a request that crashes servers is not sent to the whole
+ * fleet; quarantine.c decides.
  */
 #include "log.h"
 #include "proxy_int.h"
@@ -36,7 +37,11 @@
 	}
 }
 
-/* lw_proxy_suspect() - a node knows this of a request; returns what others must hear now, or NULL. */
+/*
+ * lw_proxy_merge_suspect() - merges the report @told of another node about a
+ * suspect request; returns the entry that must be sent to the other nodes now, or
+ * NULL.
+ */
 const lw_suspect_t *lw_proxy_merge_suspect(void *ctx, const lw_suspect_t *told)
 {
 	lw_proxy_t *p = ctx;
@@ -47,7 +52,10 @@
 	return s;
 }
 
-/* lw_proxy_suspects() - the requests that a node that begins must know of. */
+/*
+ * lw_proxy_list_suspects() - lists up to @most suspect requests for a node that
+ * has just started; returns their number.
+ */
 size_t lw_proxy_list_suspects(void *ctx, const lw_suspect_t **out, size_t most)
 {
 	const lw_proxy_t *p = ctx;
@@ -62,7 +70,7 @@
 	lw_quarantine_expire(p->engine.quarantine, p->hub.now_us);
 }
 
-/* lw_proxy_crash_init() - once the gate stands. */
+/* lw_proxy_crash_init() - call after the gate has been initialised. */
 void lw_proxy_crash_init(lw_proxy_t *p)
 {
 	p->engine.gate.ended = on_server_crashed;
--- a/src/proxylease.c
+++ b/src/proxylease.c
@@ -1,15 +1,19 @@
 /*
- * The proxy's view of the lease of its backend server: lease.c decides, here
- * the evidence is gathered and what follows is done.
+ * Tracks the lease of the backend server on this host, whose entry in the store
+ * can be missing although the server is running. lease.c decides; this file
+ * gathers the evidence and acts on the decision.
  */
 #include "log.h"
 #include "proxy_int.h"
 
-/* while the entry is missing, evidence is looked at so often, in seconds */
+/* while the entry is missing, period of the checks of the evidence, in seconds */
 #define STEP_S 0.1
-/* the server is asked, and other nodes are told, so often, us */
+/*
+ * period of health checks of the server and of liveness assertions to other
+ * nodes, us
+ */
 #define CHECK_INTERVAL_US 500000
-/* and the store is read on for so long after the last step, us */
+/* how long this node keeps reading the store after the last check, us */
 #define LEASE_READ_US 2500000
 
 static lw_lease_evidence_t gather_evidence(const lw_proxy_t *p)
@@ -37,7 +41,10 @@
 	       ev->leaving);
 }
 
-/* lw_proxy_health_path() - where the backend server here answers health checks; may be empty. */
+/*
+ * lw_proxy_health_path() - path of the health check of the backend server on this
+ * host; empty if it has none.
+ */
 const char *lw_proxy_health_path(const lw_proxy_t *p)
 {
 	const lw_fleet_service_t *s =
@@ -51,13 +58,16 @@
 	lw_probe_check(&p->probe, lw_proxy_health_path(p));
 }
 
-/* the store is read by this node itself as long as the entry is missing */
+/* This node reads the store itself as long as the entry is missing. */
 static void read_store(lw_proxy_t *p)
 {
 	lw_proxy_read_store_for(p, LEASE_READ_US, LW_FEED_LEASE);
 }
 
-/* the other nodes, and this one's own placement, are told that the server lives */
+/*
+ * Asserts to the other nodes and to this node's own placement that the server is
+ * alive.
+ */
 static void assert_liveness(lw_proxy_t *p)
 {
 	lw_place_vouched(&p->engine.place, p->mesh_addr, p->engine.gate.server_id, p->born_ms,
@@ -94,7 +104,10 @@
 		lw_mesh_vouch(p->engine.mesh, "", 0);
 }
 
-/* lw_proxy_lease_missing() - the entry of the backend server here is not in the newest list. */
+/*
+ * lw_proxy_lease_entry_missing() - the newest list has no entry of the backend
+ * server on this host.
+ */
 void lw_proxy_lease_entry_missing(lw_proxy_t *p)
 {
 	if (p->lease.state != LW_LEASE_HELD)
@@ -108,7 +121,10 @@
 	ev_timer_again(p->hub.loop, &p->lease_timer);
 }
 
-/* lw_proxy_lease_found() - it is in the list, as the process that started at @born_ms. */
+/*
+ * lw_proxy_lease_entry_found() - the newest list has the entry of the backend
+ * server on this host; its process started at @born_ms (Unix time).
+ */
 void lw_proxy_lease_entry_found(lw_proxy_t *p, uint64_t born_ms)
 {
 	p->born_ms = born_ms;
@@ -120,7 +136,7 @@
 	lw_mesh_vouch(p->engine.mesh, "", 0);
 }
 
-/* lw_proxy_lease_init() - the lease is held until the list says otherwise. */
+/* lw_proxy_lease_init() - the lease is held until the entry is missing from a list. */
 void lw_proxy_lease_init(lw_proxy_t *p)
 {
 	lw_lease_found(&p->lease);
--- a/src/proxynews.c
+++ b/src/proxynews.c
@@ -1,6 +1,7 @@
 /*
- * What the proxy learns and passes on: configurations and lists of backend
- * servers, from the store or from other nodes, and who has to read the store.
+ * Receives configurations and lists of backend servers from the store or from
+ * other nodes, forwards updates to other nodes, and decides whether this node
+ * reads the store itself.
  */
 #include "linux/clock.h"
 #include "log.h"
@@ -8,26 +9,36 @@
 #include "meshframe.h"
 #include "storepos.h"
 
-/* the store is asked out of turn at most so often: its calls are few, us */
+/*
+ * shortest interval between two urgent reads, which limits the calls to the
+ * store, us
+ */
 #define URGENT_READ_INTERVAL_US 200000
-/* and read for so long then, us */
+/* how long the store is read after an urgent read, us */
 #define URGENT_READ_US 300000
-/* a node that steps in for the readers goes on for so long, us */
+/* how long a node that substitutes for the readers goes on reading, us */
 #define SUBSTITUTE_READ_US 2500000
-/* news is passed on when it is so much newer than what was passed on last, us */
+/*
+ * an update is forwarded if the store read is newer by this than the last one
+ * forwarded, us
+ */
 #define FORWARD_INTERVAL_US 300000
-/* old news is asked for so often, us */
+/* interval at which other nodes are asked while the last store update is too old, us */
 #define QUERY_INTERVAL_US 100000
-/* the documents, as the mesh numbers them */
+/* the documents, as numbered in mesh frames */
 #define DOCUMENT_CONFIG	 LW__DOCUMENT_KIND__DOCUMENT_CONFIG
 #define DOCUMENT_SERVERS LW__DOCUMENT_KIND__DOCUMENT_SERVERS
 /*
- * A server that left gets its last new work this much before its drain time
- * ends, in seconds: what waits in front of it must still reach it in time.
+ * A server that left gets its last new request this long before its drain time
+ * ends, in seconds: a request that waits in its queue must still reach it in
+ * time.
  */
 #define LAPSED_MARGIN_S 0.45
 
-/* lw_proxy_news_age_ms() - since the store was last read, here or by another node. */
+/*
+ * lw_proxy_update_age_ms() - milliseconds since the store was last read, by this
+ * node or by another one.
+ */
 uint32_t lw_proxy_update_age_ms(void *ctx)
 {
 	const lw_proxy_t *p = ctx;
@@ -36,7 +47,10 @@
 	return age_us / 1000 < UINT32_MAX ? (uint32_t)(age_us / 1000) : UINT32_MAX;
 }
 
-/* tell the nodes that hear of news by this one */
+/*
+ * Forwards the time of the last store read to this node's children in the
+ * dissemination tree.
+ */
 static void forward_update(lw_proxy_t *p)
 {
 	char node[LW_NAME_MAX];
@@ -48,7 +62,10 @@
 	}
 }
 
-/* keep the list as a document; false if it has the same servers as the one in use */
+/*
+ * Keeps the list as a document; returns false if it has the same servers as the
+ * list in use.
+ */
 static bool store_server_document(lw_proxy_t *p, const lw_serverlist_t *sl)
 {
 	lw_bytebuf_t bytes = { 0 };
@@ -80,9 +97,10 @@
 }
 
 /*
- * Until when an entry that is missing now may still be a lapsed one, us. It
- * was there when the store was last read; a server that left just after that
- * may have work until its drain time is over.
+ * Time until which an entry that is missing now may have expired although its
+ * server is running, us. The entry was present when the store was last read; a
+ * server that left just after that may receive requests until its drain time is
+ * over.
  */
 static uint64_t lapsed_until_us(const lw_proxy_t *p)
 {
@@ -124,7 +142,10 @@
 		lw_gate_set_server(&p->engine.gate, self);
 		lw_proxy_lease_entry_found(p, self->born_ms);
 	} else if (p->server_was_listed && lw_gate_leaving(&p->engine.gate)) {
-		/* it drained before its entry went */
+		/*
+		 * the server drained before its entry was removed, so the lease
+		 * was not lost
+		 */
 	} else if (p->server_was_listed) {
 		lw_proxy_lease_entry_missing(p);
 	}
@@ -141,7 +162,7 @@
 	lw_callers_set_ready(p->callers, p->engine.conf && p->engine.place.nhosts);
 }
 
-/* this node reads the store itself from now on */
+/* Starts or continues to read the store, for the reason @why. */
 static void start_reading(lw_proxy_t *p, lw_feed_why_t why)
 {
 	if (p->servers && lw_feed_rests(&p->feed))
@@ -149,7 +170,10 @@
 	lw_feed_want(&p->feed, why);
 	lw_feed_set_patient(&p->feed, why == LW_FEED_NEWS_OLD && p->servers &&
 					      !lw_spread_steps_in(&p->spread));
-	/* several reasons may hold at once: only a new one that outlasts the others is told */
+	/*
+	 * several reasons may apply at once: log only a new reason that outlasts
+	 * the others
+	 */
 	if (p->reads_store && (p->reads_why == why || why != LW_FEED_READER))
 		return;
 	p->reads_store = true;
@@ -169,7 +193,10 @@
 	p->reads_store = false;
 }
 
-/* lw_proxy_read_for() - this node reads the store itself for @us at least. */
+/*
+ * lw_proxy_read_store_for() - this node reads the store itself for at least @us
+ * microseconds, for the reason @why.
+ */
 void lw_proxy_read_store_for(lw_proxy_t *p, uint64_t us, lw_feed_why_t why)
 {
 	if (p->read_until_us < p->hub.now_us + us)
@@ -178,9 +205,9 @@
 }
 
 /*
- * A reader reads always, any other node while it hears of no read of others.
- * What it read itself does not count: it would stop, wait for others in vain,
- * and begin again.
+ * A reader always reads the store. Any other node reads only while it receives no
+ * reports of reads by other nodes. Its own reads do not count: the node would
+ * stop, wait in vain for reads by others, and start again.
  */
 static void update_reading(lw_proxy_t *p)
 {
@@ -216,7 +243,7 @@
 	update_reading(p);
 }
 
-/* what the mesh asks and tells */
+/* callbacks of the mesh */
 
 static void mesh_load(void *ctx, const char *node, const lw_load_t *load)
 {
@@ -349,9 +376,10 @@
 };
 
 /*
- * lw_proxy_list_is_old() - A server has started anew and its old entry is all that is known. The next
- * look at the store would come 0.7 s later; after a power failure all calls to
- * the service failed until then.
+ * lw_proxy_refresh_list() - reads the store at once, as a backend server was
+ * restarted and only the entry of its previous process is known. The next regular
+ * read would come up to 0.7 s later; after a power failure all calls to the
+ * service failed until then.
  */
 void lw_proxy_refresh_list(void *ctx)
 {
@@ -364,7 +392,7 @@
 	lw_feed_hurry(&p->feed);
 }
 
-/* try to reach a node that was lost; its first status clears it */
+/* Tries to reach a lost node; its first status frame clears the mark. */
 static void reconnect(void *ctx, const char *node)
 {
 	lw_proxy_t *p = ctx;
@@ -372,15 +400,15 @@
 	lw_mesh_contact(p->engine.mesh, node);
 }
 
-/* lw_proxy_contact_lost() - try to reach the nodes that were lost. */
+/* lw_proxy_reconnect_lost() - tries to reach the nodes that were lost. */
 void lw_proxy_reconnect_lost(lw_proxy_t *p)
 {
 	lw_place_each_lost(&p->engine.place, reconnect, p);
 }
 
 /*
- * Looks when the news is old enough to be asked for, which it never gets while
- * the readers are heard.
+ * Asks other nodes for their last store read once the last report of one is too
+ * old, which does not happen while reports of the readers arrive.
  */
 static void on_query_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
@@ -408,7 +436,7 @@
 	lw_serverlist_free(sl);
 }
 
-/* lw_proxy_start_feed() - start the thread that reads the store. */
+/* lw_proxy_start_feed() - starts the thread that reads the store. */
 lw_status_t lw_proxy_start_feed(lw_proxy_t *p)
 {
 	ev_async_init(&p->feed_wakeup, on_feed_wakeup);
--- a/src/proxynotice.c
+++ b/src/proxynotice.c
@@ -1,14 +1,21 @@
 /*
- * The proxy's view of what its backend server announces: other nodes and the log hear
- * of it, and a server that is asked for nothing is asked whether it still holds.
+ * Handles what the backend server on this host announces in response headers:
+ * reports it to other nodes and to the log, and checks the server's health when
+ * an announced limit has not been confirmed for a while.
  */
 #include "log.h"
 #include "proxy_int.h"
 
-/* a server that names a limit and has not been heard for so long is asked, us */
+/*
+ * a server that announced a limit is checked after this long without an answer
+ * from it, us
+ */
 #define LIMIT_STALE_US 1500000
 
-/* lw_proxy_announce() - what the server announces has changed: those that may send it requests hear now. */
+/*
+ * lw_proxy_announce() - reports a changed announcement of the server at once to
+ * the nodes that may send requests to it.
+ */
 void lw_proxy_announce(void *ctx)
 {
 	lw_proxy_t *p = ctx;
@@ -16,7 +23,10 @@
 	lw_mesh_announce(p->engine.mesh);
 }
 
-/* lw_proxy_heard() - the server has announced this in its answer to a health check. */
+/*
+ * lw_proxy_on_server_notice() - the server made the announcement @said in its
+ * answer to a health check that was sent at @sent_us.
+ */
 void lw_proxy_on_server_notice(void *ctx, const lw_notice_said_t *said, uint64_t sent_us)
 {
 	lw_proxy_t *p = ctx;
@@ -38,7 +48,10 @@
 		       g->server_id, by, (unsigned long long)age_ms);
 }
 
-/* a limit may change with each answer: lines and words to others are as many as ticks at most */
+/*
+ * A limit may change with each answer: it is logged and reported at most once per
+ * tick.
+ */
 static void announce_limit(lw_proxy_t *p)
 {
 	const lw_notice_limit_t *named = &p->engine.gate.named;
@@ -62,8 +75,9 @@
 }
 
 /*
- * A limit that lets nothing in would hold for good, as only answers end it: requests
- * would be refused beside a server that is well again.
+ * A limit that admits no requests would last forever, as only answers of the
+ * server lift it: requests would be refused although the server has recovered. A
+ * health check gets an answer.
  */
 static void refresh_stale_limit(lw_proxy_t *p)
 {
@@ -86,7 +100,7 @@
 	refresh_stale_limit(p);
 }
 
-/* lw_proxy_notice_init() - once the gate stands. */
+/* lw_proxy_notice_init() - call after the gate has been initialised. */
 void lw_proxy_notice_init(lw_proxy_t *p)
 {
 	p->engine.gate.noticed = lw_proxy_announce;
--- a/src/proxyquota.c
+++ b/src/proxyquota.c
@@ -1,6 +1,6 @@
 /*
- * Limits of organisations: this node's reports to the keepers, and what it does as
- * a keeper itself.
+ * Limits of organisations: sends this node's reports to the quota coordinators
+ * and acts as a coordinator itself if chosen.
  */
 #include <string.h>
 #include <xxhash.h>
@@ -9,9 +9,9 @@
 #include "proxy_int.h"
 #include "quotachoice.h"
 
-/* the period in which is looked whether a report is due, in seconds */
+/* period of the check whether a report is due, in seconds */
 #define STEP_S 0.05
-/* organisations that one report may name; the rest comes with the next */
+/* most organisations in one report; the others follow in the next one */
 #define REPORT_MAX_ORGS 4096
 
 static lw_quota_use_t uses[REPORT_MAX_ORGS];
@@ -63,7 +63,7 @@
 	return false;
 }
 
-/* the chosen one that has no place yet; empty: there is none */
+/* Returns the chosen coordinator that has no slot yet; empty if there is none. */
 static const char *unassigned_coordinator(const lw_proxy_t *p, char chosen[][LW_NAME_MAX])
 {
 	for (uint32_t i = 0; i < LW_QUOTA_KEEPERS; i++)
@@ -73,7 +73,10 @@
 	return "";
 }
 
-/* lw_proxy_quota_servers() - the list of backend servers has changed: other nodes may be keepers now. */
+/*
+ * lw_proxy_quota_update_servers() - the list of backend servers changed, which
+ * may change the choice of coordinators.
+ */
 void lw_proxy_quota_update_servers(lw_proxy_t *p, const lw_serverlist_t *sl)
 {
 	char backends[LW_QUOTA_KEEPERS][LW_NAME_MAX];
@@ -93,7 +96,10 @@
 	lw_quotakeeper_set_nodes(p->coordinator, (uint32_t)sl->nservers);
 }
 
-/* lw_proxy_quota_config() - a configuration is in force; without organisations nothing is reported. */
+/*
+ * lw_proxy_quota_update_config() - a new configuration is in force; without
+ * organisations nothing is reported.
+ */
 void lw_proxy_quota_update_config(lw_proxy_t *p)
 {
 	const lw_orgs_t *orgs = p->engine.conf->orgs;
@@ -106,7 +112,7 @@
 	ev_timer_start(p->hub.loop, &p->quota_timer);
 }
 
-/* lw_proxy_quota_terms() - the terms of the settings have changed. */
+/* lw_proxy_quota_update_settings() - the quota settings changed. */
 void lw_proxy_quota_update_settings(lw_proxy_t *p)
 {
 	lw_quotaterms_t t = settings_terms(p->set);
@@ -115,7 +121,10 @@
 	lw_quotakeeper_set_terms(p->coordinator, &t);
 }
 
-/* lw_proxy_quota_node_lost() - the connection to @node is lost, and with it what a keeper was told. */
+/*
+ * lw_proxy_quota_node_lost() - the connection to @node was lost; if @node is a
+ * coordinator, the reports sent to it may be lost too.
+ */
 void lw_proxy_quota_node_lost(lw_proxy_t *p, const char *node)
 {
 	for (uint32_t i = 0; i < LW_QUOTA_KEEPERS; i++)
@@ -123,7 +132,11 @@
 			lw_quota_lost(p->engine.quota, i);
 }
 
-/* lw_proxy_quota_report() - a node reports to this one as a keeper; returns what it has to know. */
+/*
+ * lw_proxy_quota_on_report() - handles a report of @node to this node as a
+ * coordinator; writes the reply to @out (up to @most entries) and returns its
+ * number of entries.
+ */
 size_t lw_proxy_quota_on_report(void *ctx, uint64_t node, const lw_quota_use_t *reported, size_t n,
 				lw_quota_term_t *out, size_t most)
 {
@@ -134,7 +147,10 @@
 	return lw_quotakeeper_terms(p->coordinator, reported, n, out, most, now);
 }
 
-/* lw_proxy_quota_told() - a keeper has answered; an answer to an older report says nothing new. */
+/*
+ * lw_proxy_quota_on_reply() - handles the reply of a coordinator to the report
+ * @number; a reply to an older report is ignored.
+ */
 void lw_proxy_quota_on_reply(void *ctx, const char *node, uint32_t number,
 			     const lw_quota_term_t *told, size_t n)
 {
@@ -145,7 +161,10 @@
 			lw_quota_told(p->engine.quota, i, told, n, p->hub.now_us);
 }
 
-/* lw_proxy_quota_init() - nothing is limited before a configuration is known. */
+/*
+ * lw_proxy_quota_init() - nothing is limited before a configuration has been
+ * received.
+ */
 void lw_proxy_quota_init(lw_proxy_t *p)
 {
 	lw_quotaterms_t t = settings_terms(p->set);
--- a/src/proxystop.c
+++ b/src/proxystop.c
@@ -1,12 +1,16 @@
-/* The stop of the proxy: what stopplan.c decides is done here. */
+/*
+ * Carries out the graceful stop of the proxy after SIGTERM; stopplan.c decides
+ * the steps.
+ */
 #include "log.h"
 #include "proxy_int.h"
 #include "stopplan.h"
 
 /*
- * Age of the oldest request under way, of callers or of other nodes; 0: there
- * is none. One whose answer is here is under way until its sender has taken it:
- * an exit would cut off up to a window of it.
+ * Age in microseconds of the oldest request in progress, of callers or of other
+ * nodes; 0 if there is none. A request whose answer has arrived stays in progress
+ * until its sender has received the answer: an exit would truncate up to a window
+ * of it.
  */
 static uint64_t oldest_request_us(const lw_proxy_t *p)
 {
@@ -18,7 +22,7 @@
 	return ours > theirs ? ours : theirs;
 }
 
-/* what the node still has, for the lines about a stop */
+/* Logs a step of the stop with the work that is left. */
 static void log_step(const lw_proxy_t *p, const char *step, const lw_stopstate_t *state)
 {
 	lw_log(LW_LOG_stop_step,
@@ -29,9 +33,10 @@
 }
 
 /*
- * Answer what is given up and close everything, in the step that decides it: the
- * loop still acts on what has arrived in this turn, and a request taken then
- * would be passed on with nobody left to wait for its answer.
+ * Answers the requests that are given up and closes all connections, in the step
+ * that decides to exit: the event loop still handles what has arrived in this
+ * iteration, and a request accepted then would be forwarded with nobody left to
+ * wait for its answer.
  */
 static void close_everything(lw_proxy_t *p)
 {
@@ -40,7 +45,7 @@
 	lw_mesh_end(p->engine.mesh);
 }
 
-/* the next steps of a stop */
+/* Timer callback: takes the next steps of the stop. */
 static void on_stop_step(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_proxy_t *p = w->data;
@@ -77,7 +82,10 @@
 	}
 }
 
-/* lw_proxy_on_term() - SIGTERM: callers are told not to come; the rest follows by stopplan.c. */
+/*
+ * lw_proxy_on_term() - handles SIGTERM and SIGINT: callers are told that the node
+ * is stopping, and the further steps follow stopplan.c.
+ */
 void lw_proxy_on_term(struct ev_loop *loop, ev_signal *w, int revents)
 {
 	lw_proxy_t *p = w->data;
