--- a/src/explain.c
+++ b/src/explain.c
@@ -1,4 +1,4 @@
-/* A request's story from logs; see explain.h. */
+/* Reconstructs the path of a request from logs; see explain.h. */
 #include "explain.h"
 
 #include <inttypes.h>
@@ -13,49 +13,52 @@
 #define VALUE_MAX  128
 #define INDENT_MAX 20
 
-/* What the values of "why" mean and where to look next. */
+/* The values of "why", what they mean and what to check next. */
 static const struct {
 	const char *why;
 	const char *meaning;
 	const char *next_step;
 } reasons[] = {
-	{ "path_busy", "a service its work leads to is over capacity; refused where it began",
+	{ "path_busy", "a service on its call path is over capacity; the first node refused it",
 	  "lw_gate_level and lw_gate_queued on the nodes of the service named by 'by'" },
-	{ "busy", "the servers that were asked have longer queues than it could wait",
+	{ "busy", "the queues of the servers that were tried are longer than it could wait",
 	  "lw_gate_running, lw_gate_limit and lw_gate_service_us on the nodes of that service" },
-	{ "leaving", "the nodes that were asked are stopping or their servers leave",
+	{ "leaving", "the nodes that were tried are stopping or their servers are leaving",
 	  "E1001 and E1208 on those nodes: too many restarts at once" },
-	{ "expired", "it waited in front of a server until it was of no use any more",
+	{ "expired", "it waited in the queue of a server until an answer would have come too late",
 	  "lw_gate_wait_seconds and lw_gate_service_us there" },
 	{ "no_server", "no server of the service accepts connections",
-	  "E1208 for the list of servers, and whether the server runs" },
+	  "E1208 for the list of servers; check that the server is running" },
 	{ "unsent", "no node of the service could be reached",
-	  "E1405 at that time: which node, and the network to it" },
-	{ "shed", "the servers themselves turned it away", "the servers' own logs" },
-	{ "misdirected", "the address has another server now",
+	  "E1405 at that time for the node; check the network to it" },
+	{ "shed", "the servers themselves rejected it", "the servers' own logs" },
+	{ "misdirected", "another server has this address now",
 	  "E1208: how old the list of servers was" },
-	{ "broken", "the connection ended or the answer was not valid; it may have run",
-	  "E1311 on the node beside the server, E1405 if the node itself was lost" },
+	{ "broken",
+	  "the connection was closed or the answer was invalid; it may have been executed",
+	  "E1311 on the server's node, E1405 if the node itself was lost" },
 	{ "timeout", "no answer within the route's timeout or the caller's deadline",
-	  "the calls above: waited_ms (queue) and ran_ms (server); none: the server was slow" },
-	{ "over_limit",
-	  "its organisation asks for more than its limit allows to all hosts together",
-	  "E1315 for the limit and the part let in; lw_organisation_requests_total by organisation" },
+	  "the calls above: waited_ms (queue) and ran_ms (server); if none: the server was slow" },
+	{ "over_limit", "its organisation exceeds its limit, which applies to all hosts together",
+	  "E1315 for the limit and the admitted share; lw_organisation_requests_total by organisation" },
 	{ "server_limit",
-	  "the servers of a service it leads to take only so many requests a second",
+	  "the servers of a service on its call path have announced a limit on requests per second",
 	  "E1604 on the nodes of that service; lw_server_limit_per_s and lw_gate_paced_total there" },
-	{ "held", "servers ended while they ran this request; it is held back for a while",
-	  "E1602 with the same print on any node, E1601 on the nodes beside those servers" },
+	{ "held", "servers crashed while they executed this request; it is refused for a while",
+	  "E1602 with the same print on any node, E1601 on the nodes of those servers" },
 };
 
-/* lw_explain_init() - the story of the request @id, with no lines yet. */
+/* lw_explain_init() - prepares @e for the request @id, with no lines yet. */
 void lw_explain_init(lw_explain_t *e, const char *id)
 {
 	memset(e, 0, sizeof(*e));
 	e->id = xstrdup(id);
 }
 
-/* the value of @key in "key=value ..." into @dst; false if it has none */
+/*
+ * Copies the value of @key in "key=value ..." to @dst; returns false if there is
+ * none.
+ */
 static bool field(const char *fields, const char *key, char *dst, size_t len)
 {
 	size_t klen = strlen(key);
@@ -85,7 +88,10 @@
 	return field(fields, key, value, sizeof(value)) ? strtoull(value, NULL, 10) : 0;
 }
 
-/* "Mon DD HH:MM:SS.mmm" in milliseconds, all months counted as 31 days */
+/*
+ * "Mon DD HH:MM:SS.mmm" in milliseconds within the year; every month counts as 31
+ * days
+ */
 static uint64_t stamp_ms(const char *stamp)
 {
 	static const char months[] = "JanFebMarAprMayJunJulAugSepOctNovDec";
@@ -100,7 +106,11 @@
 	       s * 1000 + ms;
 }
 
-/* whether @id is the request or a call for it; ids of calls extend its id by a dot and more */
+/*
+ * Returns whether @id is the request @root or a call made for it: the id of a
+ * call is the id of its request, a dot and a suffix. @depth is set to the nesting
+ * depth of the call, 0 for the request itself.
+ */
 static bool is_part_of(const char *id, const char *root, uint32_t *depth)
 {
 	size_t n = strlen(root);
@@ -124,8 +134,8 @@
 }
 
 /*
- * lw_explain_add() - take @line if it belongs to the request. What stands
- * before "<priority>" is left out; a line of another form is no event.
+ * lw_explain_add() - adds @line if it belongs to the request. Text before
+ * "<priority>" is ignored, and so is a line in any other format.
  */
 void lw_explain_add(lw_explain_t *e, const char *source, const char *line)
 {
@@ -154,7 +164,10 @@
 	l->fields = xstrndup(fields + 1, strcspn(fields + 1, "\r\n"));
 }
 
-/* of events in the same millisecond: what the end of a call leads to follows it */
+/*
+ * Order of events of the same millisecond: the events that the end of a call
+ * causes follow it.
+ */
 static int tie_order(const lw_explain_line_t *l)
 {
 	static const char *const order[] = { "path_busy", "call_ended", "request_retried",
@@ -179,15 +192,16 @@
 	return x->seq < y->seq ? -1 : x->seq > y->seq;
 }
 
-/* lw_explain_sort() - bring the lines into the order of their time. */
+/* lw_explain_sort() - sorts the lines by time. */
 void lw_explain_sort(lw_explain_t *e)
 {
 	qsort(e->lines, e->nlines, sizeof(*e->lines), by_time);
 }
 
 /*
- * lw_explain_cause() - the line that decided: the first end of the deepest
- * call, as a failed call fails all above it. NULL if nothing ended here.
+ * lw_explain_cause() - the line that decided the outcome: the first end of the
+ * deepest call, as a failed call makes all calls above it fail. NULL if no line
+ * has the end of a request.
  */
 const lw_explain_line_t *lw_explain_cause(const lw_explain_t *e)
 {
@@ -202,7 +216,10 @@
 	return found;
 }
 
-/* refusals for lack of room, which may be for what the servers say they take */
+/*
+ * Returns whether @why is a refusal for lack of capacity, which a limit announced
+ * by the servers can cause.
+ */
 static bool is_full(const char *why)
 {
 	return strcmp(why, "busy") == 0 || strcmp(why, "expired") == 0 ||
@@ -223,7 +240,7 @@
 	return -1;
 }
 
-/* what the caller may rely on, from the status of the request itself */
+/* What the caller can rely on, by the status of the request itself. */
 static const char *outcome_text(const lw_explain_t *e)
 {
 	for (size_t i = e->nlines; i-- > 0;) {
@@ -238,7 +255,10 @@
 	return "answered by its server, or still under way";
 }
 
-/* lw_explain_print() - the story as text: one line an event, then the cause. */
+/*
+ * lw_explain_print() - prints the result as text: one line per event, then the
+ * cause.
+ */
 void lw_explain_print(const lw_explain_t *e, FILE *out)
 {
 	const lw_explain_line_t *cause = lw_explain_cause(e);
@@ -262,8 +282,8 @@
 	fprintf(out, "outcome: %s\n", outcome_text(e));
 	if (e->dropped)
 		fprintf(out,
-			"note: these nodes left out %" PRIu64
-			" lines for volume; lines of this request may be among them\n",
+			"note: these nodes dropped %" PRIu64
+			" lines to bound the log volume; lines of this request may be among them\n",
 			e->dropped);
 }
 
@@ -274,7 +294,7 @@
 			 "event", l->event, "fields", l->fields);
 }
 
-/* lw_explain_json() - the same for programs. */
+/* lw_explain_json() - prints the result as JSON, for programs. */
 void lw_explain_json(const lw_explain_t *e, FILE *out)
 {
 	int reason = reason_of(lw_explain_cause(e));
@@ -291,7 +311,7 @@
 	json_decref(doc);
 }
 
-/* lw_explain_free() - release what @e holds. */
+/* lw_explain_free() - releases the memory held by @e. */
 void lw_explain_free(lw_explain_t *e)
 {
 	for (size_t i = 0; i < e->nlines; i++) {
--- a/src/explain.h
+++ b/src/explain.h
@@ -1,6 +1,7 @@
 /*
- * The story of one request from the logs of several nodes: which lines belong
- * to it and to the calls made for it, in order, and what decided its outcome.
+ * Reconstructs the path of one request from the logs of several nodes: which
+ * lines belong to the request and to the calls made for it, in order of time, and
+ * what decided its outcome.
  */
 #ifndef LW_EXPLAIN_H
 #define LW_EXPLAIN_H
@@ -12,12 +13,12 @@
 
 #include "lwstr.h"
 
-/* One line of a log that belongs to the request. */
+/* One log line that belongs to the request. */
 typedef struct lw_explain_line {
-	uint64_t at_ms; /* within the year, by the clock of the node that wrote it */
-	uint64_t seq; /* as read; orders lines of the same time */
+	uint64_t at_ms; /* time within the year, by the clock of the node that wrote the line */
+	uint64_t seq; /* order in which the lines were read; for lines of the same time */
 	uint32_t depth; /* 0: the request itself, 1: calls made for it, ... */
-	char *source; /* name of the file */
+	char *source; /* name of the log file */
 	char *stamp;
 	char *event; /* name of the event */
 	char *fields; /* key=value ... */
@@ -28,7 +29,7 @@
 	lw_explain_line_t *lines;
 	size_t nlines;
 	size_t cap;
-	uint64_t dropped; /* lines that the nodes say they left out */
+	uint64_t dropped; /* lines that the nodes report as dropped */
 } lw_explain_t;
 
 void lw_explain_init(lw_explain_t *e, const char *id);
--- a/src/log.c
+++ b/src/log.c
@@ -1,8 +1,8 @@
 /*
- * Syslog-style event lines. Each line carries the event number so operators
- * can grep for it and find it in docs/EVENTS.md. Lines of a request loop go
- * through a ring to a writer thread: a log reader that stands still must not
- * hold up requests. Request lines are limited in number; what is left out is
+ * Syslog-style event lines. Each line has the event number, so that operators can
+ * grep for it and look it up in docs/EVENTS.md. Lines of an event loop go through
+ * a buffer to a writer thread: a log reader that is paused must not delay
+ * requests. The rate of lines about single requests is limited; dropped lines are
  * counted.
  */
 #include "log.h"
@@ -19,10 +19,10 @@
 #include "linux/clock.h"
 #include "xalloc.h"
 
-/* longest fields and line of one event, in bytes; longer ones are cut */
+/* longest fields and longest line of one event, in bytes; longer ones are truncated */
 #define FIELDS_MAX_BYTES 768
 #define LINE_MAX_BYTES	 1024
-/* lw_log_flush() waits so many times 10 ms */
+/* lw_log_flush() waits for at most this many steps of 10 ms */
 #define FLUSH_STEPS 20
 
 static const char *log_prog = "lavenderward";
@@ -43,8 +43,8 @@
 };
 
 /*
- * lw_log_init() - name the program in every line and drop events less
- * urgent than @max_priority (a syslog priority, LOG_ERR..LOG_DEBUG).
+ * lw_log_init() - sets the program name in the lines and drops events less urgent
+ * than @max_priority (a syslog priority, LOG_ERR..LOG_DEBUG).
  */
 void lw_log_init(const char *prog, int max_priority)
 {
@@ -60,31 +60,31 @@
 	return NULL;
 }
 
-/* bytes of lines that wait for the writer; about a thousand lines */
+/* size of the buffer of lines for the writer thread; holds about a thousand lines */
 #define OUTPUT_BUFFER_BYTES 131072
-/* the writer gathers lines for so long before it writes, ms: one call for many */
+/* how long the writer thread collects lines to write them with one system call, ms */
 #define GATHER_MS 50
 /*
- * After a quiet time request lines of so many seconds may come at once. An
- * on-call engineer needs examples of what goes wrong, not each of thousands of
+ * Largest burst of lines about single requests, in seconds of the allowed rate.
+ * An on-call engineer needs examples of the failures, not each of thousands of
  * refusals.
  */
 #define REQUEST_BURST_S 3
-/* how often it is told that lines were left out, us */
+/* shortest interval between reports of dropped lines, us */
 #define DROPPED_REPORT_US 1000000
-/* events about single requests have these numbers */
+/* numbers of the events about single requests */
 #define REQUEST_EVENT_FIRST 1300
 #define REQUEST_EVENT_LAST  1399
 
 static struct {
-	int fd; /* -1: no ring, straight to standard error */
+	int fd; /* -1: no writer thread, lines go to standard error */
 	char *bytes;
 	size_t len;
-	bool writing; /* the writer has lines in hand */
+	bool writing; /* the writer thread is writing lines */
 	uint64_t dropped;
 	uint64_t dropped_reported;
 	uint64_t dropped_reported_us;
-	double per_s; /* request lines */
+	double per_s; /* allowed lines about single requests per second */
 	double tokens;
 	uint64_t tokens_us;
 	pthread_mutex_t lock;
@@ -109,7 +109,10 @@
 	return n < (int)len ? (size_t)n : len - 1;
 }
 
-/* whether one more request line is within the limit; the lock is held */
+/*
+ * Returns whether one more line about a single request is allowed; call with the
+ * lock held.
+ */
 static bool take_request_token(void)
 {
 	uint64_t now = lw_now_us();
@@ -148,8 +151,8 @@
 }
 
 /*
- * lw_log() - write event @ev with key=value fields given by @fmt. Never waits
- * for the reader of the log if lw_log_to_ring() was called.
+ * lw_log() - writes event @ev with the key=value fields given by @fmt. Never
+ * waits for the reader of the log after lw_log_start_writer().
  */
 void lw_log(lw_event_id_t ev, const char *fmt, ...)
 {
@@ -173,7 +176,7 @@
 	pthread_mutex_unlock(&log_lock);
 }
 
-/* write all of @len bytes; a descriptor that fails loses the lines, counted */
+/* Writes all of @len bytes; if the descriptor fails, the lines are lost and counted. */
 static void write_all(const char *bytes, size_t len)
 {
 	while (len) {
@@ -188,7 +191,7 @@
 	}
 }
 
-/* the line that tells how many were left out since the last such line */
+/* Logs how many lines were dropped since the last such report. */
 static void report_dropped(void)
 {
 	uint64_t dropped = lw_log_dropped();
@@ -235,7 +238,10 @@
 	return NULL;
 }
 
-/* lw_log_limit() - lines about single requests a second from now on; 0: none. */
+/*
+ * lw_log_limit() - sets the number of lines per second about single requests; 0:
+ * none.
+ */
 void lw_log_limit(uint32_t request_lines_per_s)
 {
 	pthread_mutex_lock(&output.lock);
@@ -243,7 +249,7 @@
 	pthread_mutex_unlock(&output.lock);
 }
 
-/* lw_log_to_ring() - from now on lines go to @fd through a thread of their own. */
+/* lw_log_start_writer() - from now on a writer thread writes the lines to @fd. */
 void lw_log_start_writer(int fd)
 {
 	pthread_t thread;
@@ -252,12 +258,15 @@
 	output.tokens = output.per_s * REQUEST_BURST_S;
 	output.tokens_us = lw_now_us();
 	if (pthread_create(&thread, NULL, writer, NULL))
-		return; /* lines go on to standard error */
+		return; /* lines still go to standard error */
 	pthread_detach(thread);
 	output.fd = fd;
 }
 
-/* lw_log_flush() - before the process ends: wait shortly until all is written. */
+/*
+ * lw_log_flush() - waits up to 200 ms until all lines are written; for the end of
+ * the process.
+ */
 void lw_log_flush(void)
 {
 	const struct timespec step = { .tv_nsec = 10000000L };
@@ -274,15 +283,15 @@
 	}
 }
 
-/* lw_log_dropped() - lines left out since the start. */
+/* lw_log_dropped() - number of lines dropped since the start. */
 uint64_t lw_log_dropped(void)
 {
 	return __atomic_load_n(&output.dropped, __ATOMIC_RELAXED);
 }
 
 /*
- * lw_log_level_parse() - map "error", "warning", "notice", "info" or
- * "debug" to a syslog priority; -1 for anything else.
+ * lw_log_level_parse() - converts "error", "warning", "notice", "info" or "debug"
+ * to a syslog priority; -1 for any other name.
  */
 int lw_log_level_parse(const char *name)
 {
@@ -301,7 +310,7 @@
 	return -1;
 }
 
-/* lw_log_catalogue() - print the event catalogue as a Markdown table. */
+/* lw_log_catalogue() - prints the event catalogue as a Markdown table. */
 void lw_log_catalogue(void)
 {
 	printf("| event | name | priority | meaning |\n|---|---|---|---|\n");
--- a/src/log.h
+++ b/src/log.h
@@ -1,8 +1,8 @@
 /*
- * Numbered log events, written as syslog-style lines to standard error, or
- * by a thread of its own to a descriptor (lwproxy: standard output):
+ * Numbered log events, written as syslog-style lines to standard error, or by a
+ * writer thread to a descriptor (lwproxy: standard output):
  *   <PRI>Mon DD HH:MM:SS PROG[PID]: E<NNNN> <name> key=value ...
- * The catalogue below is the source of docs/EVENTS.md.
+ * The table below is the source of docs/EVENTS.md.
  */
 #ifndef LW_LOG_H
 #define LW_LOG_H
@@ -12,105 +12,113 @@
 
 /* X(id, name, priority, description) */
 #define LW_EVENTS(X)                                                                               \
-	X(1000, started, LOG_INFO, "a process started; fields give its addresses")                 \
+	X(1000, started, LOG_INFO, "a process has started; the fields give its addresses")         \
 	X(1001, stopping, LOG_NOTICE, "a process was asked to stop and is draining")               \
-	X(1002, stopped, LOG_INFO, "a process finished draining and exits")                        \
+	X(1002, stopped, LOG_INFO, "a process has finished draining and exits")                    \
 	X(1003, joined, LOG_NOTICE,                                                                \
 	  "the node has compared its configuration with peers and takes requests")                 \
 	X(1004, settings_reloaded, LOG_NOTICE,                                                     \
-	  "SIGHUP: the terms of the settings were read again; the rest needs a restart")           \
+	  "SIGHUP: the terms of the settings were reloaded; all other settings need a restart")    \
 	X(1005, log_dropped, LOG_WARNING,                                                          \
-	  "request lines were left out to bound the volume; counters have them all")               \
+	  "lines about single requests were dropped to bound the volume; counters include them")   \
 	X(1006, stop_step, LOG_INFO,                                                               \
-	  "a stopping process takes its next step; fields say what is still under way")            \
+	  "a stopping process takes its next step; the fields give the work still in progress")    \
 	X(1100, settings_invalid, LOG_ERR, "settings file rejected; the node does not start")      \
 	X(1101, args_invalid, LOG_ERR, "command line rejected")                                    \
 	X(1200, config_accepted, LOG_NOTICE, "a newer valid configuration is in force")            \
 	X(1201, config_rejected, LOG_WARNING,                                                      \
-	  "a configuration failed its checks; the last good one stays")                            \
+	  "a configuration failed its checks; the last valid one stays in force")                  \
 	X(1202, config_not_newer, LOG_INFO,                                                        \
 	  "a configuration not newer than the one in force was ignored")                           \
 	X(1203, config_unreachable, LOG_WARNING,                                                   \
-	  "the configuration service did not answer; the last good configuration stays")           \
+	  "the configuration service did not answer; the last valid configuration stays in force") \
 	X(1204, preset_changed, LOG_NOTICE, "the preset in force changed")                         \
 	X(1205, config_from_peer, LOG_NOTICE, "a newer configuration was fetched from a peer")     \
 	X(1206, store_back, LOG_NOTICE, "the configuration service answers again")                 \
 	X(1207, store_history_lost, LOG_NOTICE,                                                    \
-	  "the configuration service dropped its history; everything is read anew")                \
+	  "the configuration service dropped its history; all entries are read again")             \
 	X(1208, servers_changed, LOG_NOTICE, "the list of backend servers changed")                \
 	X(1209, entry_rejected, LOG_WARNING,                                                       \
-	  "an entry in the store names no server: a field is missing or of another type")          \
+	  "an entry in the store is invalid and ignored: a field is missing or of the wrong type") \
 	X(1210, lease_changed, LOG_NOTICE,                                                         \
-	  "what this node knows of its backend server's entry changed, and why")                   \
+	  "the state of the backend server's lease changed on its node; by gives the reason")      \
 	X(1212, document_spoiled, LOG_WARNING,                                                     \
-	  "a document from another node was not what it should be; it is asked for anew")          \
+	  "a document from another node was corrupted; it is requested again")                     \
 	X(1213, store_reading, LOG_INFO,                                                           \
-	  "this node begins or ends to read the configuration service itself, and why")            \
+	  "this node starts or stops reading the configuration service; why gives the reason")     \
 	X(1214, list_not_newer, LOG_INFO,                                                          \
 	  "a list of backend servers not newer than the one in use was ignored")                   \
 	X(1215, store_restored, LOG_WARNING,                                                       \
-	  "the configuration service came back from an older copy; everything is read anew")       \
+	  "the configuration service was restored from an older copy; all entries are read again") \
 	X(1211, server_vouched, LOG_NOTICE,                                                        \
-	  "a node says that its backend server lives although its entry lapsed")                   \
-	X(1300, request_shed, LOG_INFO, "a request was refused at admission (not run)")            \
+	  "a node asserts that its backend server is alive although its entry has expired")        \
+	X(1300, request_shed, LOG_INFO, "a request was refused at admission (not executed)")       \
 	X(1301, deadline_rejected, LOG_INFO,                                                       \
 	  "a request was refused because its deadline cannot be met")                              \
-	X(1302, request_timeout, LOG_INFO, "a forwarded request got no answer in time (unknown)")  \
+	X(1302, request_timeout, LOG_INFO,                                                         \
+	  "a forwarded request got no answer in time (may have been executed)")                    \
 	X(1303, late_reply_dropped, LOG_INFO,                                                      \
-	  "a reply came after its caller was answered and was dropped")                            \
-	X(1304, retry, LOG_DEBUG, "a request is sent again to another backend")                    \
+	  "a reply arrived after the caller had been answered and was dropped")                    \
+	X(1304, retry, LOG_DEBUG, "a request is retried on another backend server")                \
 	X(1305, retry_denied, LOG_INFO, "a retry was refused by the budget or the token bucket")   \
-	X(1306, dedup_hit, LOG_INFO, "a repeated idempotency key got the stored answer")           \
-	X(1307, queue_timeout, LOG_INFO, "a queued request waited past the queue bound (not run)") \
+	X(1306, dedup_hit, LOG_INFO,                                                               \
+	  "a request with a known idempotency key got the stored answer")                          \
+	X(1307, queue_timeout, LOG_INFO,                                                           \
+	  "a request exceeded the maximum wait in the queue (not executed)")                       \
 	X(1308, request_ended, LOG_INFO,                                                           \
-	  "a request ended with an answer of this node; why says what failed last")                \
+	  "this node answered a request itself; why gives the last failure")                       \
 	X(1309, answer_cut, LOG_WARNING,                                                           \
-	  "an answer that had begun could not be completed; the caller sees a cut connection")     \
-	X(1310, request_retried, LOG_INFO, "a request is given to another backend server")         \
+	  "an answer failed after its start had been sent; the caller sees a truncated answer")    \
+	X(1310, request_retried, LOG_INFO, "a request is sent to another backend server")          \
 	X(1311, call_ended, LOG_INFO,                                                              \
 	  "a call of the backend server on this host ended without an answer")                     \
 	X(1312, path_busy, LOG_INFO,                                                               \
-	  "a request is refused where it begins, as a service its work leads to is full")          \
+	  "a request is refused at its first node, as a service on its call path is overloaded")   \
 	X(1313, request_held, LOG_NOTICE,                                                          \
-	  "a request is refused, as backend servers ended while they ran it")                      \
+	  "a request is refused, as backend servers crashed while executing it")                   \
 	X(1314, not_identified, LOG_INFO,                                                          \
-	  "a request is not taken, as no organisation holds the key it carries")                   \
-	X(1315, over_limit, LOG_INFO, "a request is refused, as its organisation is at its limit") \
+	  "a request is refused, as no organisation has the key it carries")                       \
+	X(1315, over_limit, LOG_INFO,                                                              \
+	  "a request is refused, as its organisation has reached its limit")                       \
 	X(1316, quota_alone, LOG_NOTICE,                                                           \
-	  "limits are kept by this node's own part of them, or with the keepers again")            \
+	  "limits are enforced by this node alone, or again with the quota coordinators")          \
 	X(1602, suspect_changed, LOG_NOTICE,                                                       \
-	  "requests under which backend servers ended are tried alone, held or cleared")           \
+	  "a request during which backend servers crashed is now isolated, refused or cleared")    \
 	X(1400, peer_suspected, LOG_WARNING,                                                       \
-	  "a peer failed repeatedly and gets no new work for a while")                             \
+	  "a peer failed repeatedly and gets no new requests for a while")                         \
 	X(1401, peer_recovered, LOG_NOTICE, "a suspected peer answered again")                     \
-	X(1402, peer_draining, LOG_NOTICE, "a peer said it is draining; it gets no new work")      \
+	X(1402, peer_draining, LOG_NOTICE,                                                         \
+	  "a peer reported that it is draining; it gets no new requests")                          \
 	X(1403, conn_silent, LOG_WARNING,                                                          \
-	  "a pooled connection stopped answering and was replaced")                                \
+	  "a pooled connection stopped responding and was replaced")                               \
 	X(1404, peer_address, LOG_WARNING,                                                         \
-	  "a peer advertises another address than the host list; correct one of them")             \
+	  "a peer advertises an address other than the one in the host list; correct one of them") \
 	X(1500, drain_started, LOG_NOTICE,                                                         \
-	  "drain began: new work refused, in-flight work finishes")                                \
-	X(1501, drain_finished, LOG_NOTICE, "drain finished: nothing in flight")                   \
+	  "drain started: new requests are refused, requests in progress are completed")           \
+	X(1501, drain_finished, LOG_NOTICE, "drain finished: no requests in progress")             \
 	X(1405, node_lost, LOG_WARNING,                                                            \
-	  "a node could not be reached or went silent; it gets no new work for a while")           \
+	  "a node was unreachable or stopped responding; it gets no new requests for a while")     \
 	X(1406, link_silent, LOG_WARNING,                                                          \
-	  "nothing comes over a connection to a node although answers are due")                    \
-	X(1407, link_lost, LOG_WARNING, "a connection between nodes was lost with requests on it") \
+	  "nothing is received over a connection to a node although answers are due")              \
+	X(1407, link_lost, LOG_WARNING,                                                            \
+	  "a connection between nodes was lost with requests in progress")                         \
 	X(1408, fate_asked, LOG_NOTICE,                                                            \
-	  "a node is asked, over another connection, what became of a connection's requests")      \
-	X(1409, fate_told, LOG_NOTICE, "this node told a peer what became of such requests")       \
-	X(1410, fate_heard, LOG_NOTICE, "a node told what became of such requests")                \
+	  "a node is asked for the outcome of a lost connection's requests, over another one")     \
+	X(1409, fate_told, LOG_NOTICE,                                                             \
+	  "this node reported the outcome of the requests of a lost connection to a peer")         \
+	X(1410, fate_heard, LOG_NOTICE,                                                            \
+	  "a node reported the outcome of the requests of a lost connection")                      \
 	X(1411, link_ended, LOG_NOTICE,                                                            \
-	  "requests of a lost connection got their outcome, as nobody knew more of them")          \
+	  "requests of a lost connection were answered, as no node could report their outcome")    \
 	X(1600, backend_error, LOG_WARNING, "the local backend server could not be reached")       \
 	X(1601, server_ended, LOG_WARNING,                                                         \
-	  "the local backend server ended with requests in hand, and takes no connection")         \
+	  "the local backend server crashed with requests in progress; it accepts no connections") \
 	X(1603, server_leaving, LOG_NOTICE,                                                        \
-	  "a backend server says in its answers that it leaves; it gets no new work from here")    \
+	  "a backend server announces in its answers that it is leaving; it gets no new requests") \
 	X(1604, server_limit, LOG_NOTICE,                                                          \
-	  "the local backend server takes so many requests a second from all hosts, or any")       \
+	  "the local backend server announced or lifted a limit on requests/s from all hosts")     \
 	X(1605, limit_invalid, LOG_WARNING,                                                        \
-	  "the local backend server names a limit that is no decimal number; it counts as none")
+	  "the local backend server announced a limit that is no decimal number; it is ignored")
 
 typedef enum lw_event_id {
 #define LW_EV_ENUM(id, name, pri, desc) LW_LOG_##name = id,
@@ -119,9 +127,9 @@
 } lw_event_id_t;
 
 /*
- * Lines about single requests a second unless the settings say otherwise, and
- * the most they may say: a line costs 2.3 us of processor, writer included
- * (mean of 200,000), so that is 0.23% of a core.
+ * Default and largest configurable number of lines per second about single
+ * requests. A line costs 2.3 us of CPU time including the writer, so the largest
+ * number costs 0.23% of a core.
  */
 #define LW_LOG_REQUEST_LINES	 40
 #define LW_LOG_REQUEST_LINES_MAX 1000
--- a/tests/explain.sh
+++ b/tests/explain.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# lwctl explain on recorded lines of two nodes: the story, the same for
-# programs, and an id of which nothing was logged.
+# Tests of lwctl explain on recorded log lines of two nodes: the text, the JSON
+# output, and an id without log lines.
 set -e
 CTL=${CTL:-build/lwctl}
 DIR=$(dirname "$0")/explain
@@ -8,7 +8,7 @@
 passed=0
 failed=0
 
-# same WHAT EXPECTED GOT
+# same DESCRIPTION EXPECTED ACTUAL: compares two files
 same() {
 	if cmp -s "$2" "$3"; then
 		passed=$((passed + 1))
@@ -34,16 +34,16 @@
 "$CTL" check "$DIR/shared_key.json" 2>&1 | sed 's/^[^:]*: //' >"$tmp/shared_key" || true
 "$CTL" check "$DIR/shared_key.json" >/dev/null 2>&1 || rc=$?
 echo "exit $rc" >>"$tmp/shared_key"
-same "the story of a request whose call and answer broke" "$DIR/call_and_answer_broken.txt" "$tmp/text"
+same "a request whose call and answer failed" "$DIR/call_and_answer_broken.txt" "$tmp/text"
 same "the order of the files does not matter" "$DIR/call_and_answer_broken.txt" "$tmp/turned"
-same "the same as JSON" "$DIR/call_and_answer_broken.json" "$tmp/json"
+same "JSON output" "$DIR/call_and_answer_broken.json" "$tmp/json"
 "$CTL" explain anew0 "$DIR/held.log" >"$tmp/held"
-same "a request that is held back" "$DIR/held.txt" "$tmp/held"
-same "one node's log on standard input" "$DIR/one_node.txt" "$tmp/stdin"
-same "a request that is over the limit of its organisation" "$DIR/over_limit.txt" "$tmp/over_limit"
-same "a request that the servers' limits leave no room for" "$DIR/server_limit.txt" "$tmp/server_limit"
-same "a configuration in which two organisations hold one key" "$DIR/shared_key.txt" "$tmp/shared_key"
-same "an id without lines" "$DIR/none.txt" "$tmp/none"
+same "a request refused because servers crashed during it" "$DIR/held.txt" "$tmp/held"
+same "the log of one node on standard input" "$DIR/one_node.txt" "$tmp/stdin"
+same "a request over the limit of its organisation" "$DIR/over_limit.txt" "$tmp/over_limit"
+same "a request refused because of limits announced by servers" "$DIR/server_limit.txt" "$tmp/server_limit"
+same "a configuration with the same key for two organisations" "$DIR/shared_key.txt" "$tmp/shared_key"
+same "an id without log lines" "$DIR/none.txt" "$tmp/none"
 rm -r "$tmp"
 echo "explain: $passed passed, $failed failed"
 [ "$failed" = 0 ]
