--- a/src/proxystats.c
+++ b/src/proxystats.c
@@ -10,21 +10,27 @@
 #include "httpd.h"
 #include "storepos.h"
 
-/* the loop looks twice a second whether the status is wanted; longest wait, s */
+/*
+ * longest wait for the status page, in seconds; the event loop checks twice a
+ * second whether it is wanted
+ */
 #define STATUS_WAIT_S 3
 
 static lw_proxystats_t latest;
 static lw_routestats_t latest_routes;
 static struct {
 	bool wanted; /* atomic */
-	uint64_t number; /* of the text */
+	uint64_t number; /* sequence number of the text */
 	char *text;
 	size_t len;
 } status;
 static pthread_mutex_t latest_lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t status_written = PTHREAD_COND_INITIALIZER;
 
-/* lw_proxystats_publish() - from the loop: what the page shows from now on. */
+/*
+ * lw_proxystats_publish() - replaces the figures shown on the page; called by the
+ * event loop.
+ */
 void lw_proxystats_publish(const lw_proxystats_t *s)
 {
 	pthread_mutex_lock(&latest_lock);
@@ -35,13 +41,19 @@
 	pthread_mutex_unlock(&latest_lock);
 }
 
-/* lw_proxystats_status_wanted() - from the loop: somebody waits for the status. */
+/*
+ * lw_proxystats_status_wanted() - returns whether a client waits for the status
+ * page; called by the event loop.
+ */
 bool lw_proxystats_status_wanted(void)
 {
 	return __atomic_exchange_n(&status.wanted, false, __ATOMIC_RELAXED);
 }
 
-/* lw_proxystats_put_status() - from the loop: the status; @text is owned from here on. */
+/*
+ * lw_proxystats_set_status() - sets the text of the status page and takes
+ * ownership of @text; called by the event loop.
+ */
 void lw_proxystats_set_status(char *text, size_t len)
 {
 	pthread_mutex_lock(&latest_lock);
@@ -53,7 +65,10 @@
 	pthread_mutex_unlock(&latest_lock);
 }
 
-/* the next status the loop writes; 503 if the loop does not turn */
+/*
+ * Replies with the next status text of the event loop; 503 if the event loop is
+ * stuck.
+ */
 static void reply_status(lw_http_resp_t *resp)
 {
 	struct timespec until;
@@ -68,7 +83,7 @@
 	while (status.number == number && !rc)
 		rc = pthread_cond_timedwait(&status_written, &latest_lock, &until);
 	if (rc)
-		lw_http_replyf(resp, 503, "the request loop does not answer; see the log\n");
+		lw_http_replyf(resp, 503, "the event loop does not respond; see the log\n");
 	else
 		lw_http_reply(resp, 200, status.text, status.len);
 	pthread_mutex_unlock(&latest_lock);
@@ -88,27 +103,32 @@
 
 static void print_requests(FILE *f, const lw_engine_stats_t *e)
 {
-	counter(f, "lw_requests_total", "requests taken from callers and the backend server",
-		e->requests);
-	counter(f, "lw_nested_total", "of these, calls made for a running request", e->nested);
+	counter(f, "lw_requests_total",
+		"requests received from callers and from the local backend server", e->requests);
+	counter(f, "lw_nested_total", "of these, calls made on behalf of another request",
+		e->nested);
 	counter(f, "lw_answered_total", "answered by a backend server", e->answered);
-	counter(f, "lw_refused_total", "refused: certain not to have run", e->refused);
-	counter(f, "lw_failed_total", "failed: may have run", e->failed);
+	counter(f, "lw_refused_total", "refused: certainly not executed", e->refused);
+	counter(f, "lw_failed_total", "failed: may have been executed", e->failed);
 	counter(f, "lw_timeouts_total", "not answered in time", e->timeouts);
-	counter(f, "lw_cancelled_total", "given up by the caller", e->cancelled);
-	counter(f, "lw_cut_total", "answers that broke off", e->cut);
+	counter(f, "lw_cancelled_total", "cancelled by the caller", e->cancelled);
+	counter(f, "lw_cut_total", "answers that were truncated", e->cut);
 	counter(f, "lw_no_route_total", "no route matched", e->no_route);
-	counter(f, "lw_no_config_total", "came before the first configuration", e->no_config);
-	counter(f, "lw_retries_total", "sent to another backend server again", e->retries);
-	counter(f, "lw_retries_denied_total", "not sent again for lack of allowance",
+	counter(f, "lw_no_config_total", "requests received before the first configuration",
+		e->no_config);
+	counter(f, "lw_retries_total", "retries on another backend server", e->retries);
+	counter(f, "lw_retries_denied_total", "retries denied by the retry limit",
 		e->retries_denied);
-	counter(f, "lw_handed_back_total", "placed elsewhere, as no server had it", e->handed_back);
-	counter(f, "lw_not_identified_total", "carried no key, or one that nobody holds",
+	counter(f, "lw_handed_back_total",
+		"sent to another backend server after one returned the request unexecuted",
+		e->handed_back);
+	counter(f, "lw_not_identified_total", "requests without a key or with an unknown key",
 		e->not_identified);
-	counter(f, "lw_over_limit_total", "of the refused, by the limit of their organisation",
-		e->over_limit);
-	counter(f, "lw_held_total", "refused, as backend servers ended under them", e->held);
-	fprintf(f, "# HELP lw_latency_seconds until the last byte of the answer is queued\n"
+	counter(f, "lw_over_limit_total",
+		"of the refused, those over the limit of their organisation", e->over_limit);
+	counter(f, "lw_held_total", "refused, as backend servers crashed while executing them",
+		e->held);
+	fprintf(f, "# HELP lw_latency_seconds time until the last byte of the answer is queued\n"
 		   "# TYPE lw_latency_seconds histogram\n");
 	lw_histogram_print(f, "lw_latency_seconds", "kind=\"user\"", &e->latency_user);
 	lw_histogram_print(f, "lw_latency_seconds", "kind=\"nested\"", &e->latency_nested);
@@ -116,32 +136,37 @@
 
 static void print_gate(FILE *f, const lw_proxystats_t *s)
 {
-	counter(f, "lw_gate_started_total", "requests given to the backend server",
-		s->gate.started);
-	counter(f, "lw_gate_answered_total", "answered by it", s->gate.answered);
-	counter(f, "lw_gate_connections_total", "connections opened to it", s->gate.connections);
-	counter(f, "lw_gate_invalid_total", "answers that belonged to no request",
+	counter(f, "lw_gate_started_total", "requests sent to the backend server", s->gate.started);
+	counter(f, "lw_gate_answered_total", "requests answered by the backend server",
+		s->gate.answered);
+	counter(f, "lw_gate_connections_total", "connections opened to the backend server",
+		s->gate.connections);
+	counter(f, "lw_gate_invalid_total", "answers without a matching request",
 		s->gate.invalid_answers);
-	fprintf(f, "# HELP lw_gate_ended_total calls that ended without an answer\n"
-		   "# TYPE lw_gate_ended_total counter\n");
+	fprintf(f,
+		"# HELP lw_gate_ended_total requests to the backend server that ended without an answer\n"
+		"# TYPE lw_gate_ended_total counter\n");
 	for (int i = LW_FAIL_NONE + 1; i < LW_FAIL_COUNT; i++)
 		fprintf(f, "lw_gate_ended_total{why=\"%s\"} %llu\n", lw_fail_name((lw_fail_t)i),
 			(unsigned long long)s->gate.refused[i]);
-	gauge(f, "lw_gate_running", "requests at the backend server", s->load.running);
-	gauge(f, "lw_gate_queued", "requests that wait for it", s->load.queued);
-	gauge(f, "lw_gate_limit", "most requests given to it at once", s->load.limit);
-	counter(f, "lw_gate_paced_total", "handed back for the limit that it names", s->gate.paced);
-	counter(f, "lw_server_limit_invalid_total", "answers with a limit that is no number",
+	gauge(f, "lw_gate_running", "requests in progress at the backend server", s->load.running);
+	gauge(f, "lw_gate_queued", "requests in the queue of the backend server", s->load.queued);
+	gauge(f, "lw_gate_limit", "maximum of concurrent requests at the backend server",
+	      s->load.limit);
+	counter(f, "lw_gate_paced_total",
+		"requests returned unexecuted because of the limit announced by the backend server",
+		s->gate.paced);
+	counter(f, "lw_server_limit_invalid_total", "answers with a limit that is not a number",
 		s->gate.invalid_limits);
-	gauge(f, "lw_server_limited", "1: the backend server names a limit",
+	gauge(f, "lw_server_limited", "1: the backend server announces a limit",
 	      s->load.notice.limited);
 	fprintf(f,
-		"# HELP lw_server_limit_per_s requests a second that it takes; 0 also without one\n"
+		"# HELP lw_server_limit_per_s announced limit in requests per second; 0: also if none\n"
 		"# TYPE lw_server_limit_per_s gauge\nlw_server_limit_per_s %.3f\n",
 		s->load.notice.limited ? s->load.notice.limit_per_s : 0);
-	gauge(f, "lw_gate_service_us", "average time a request runs", s->load.service_us);
-	gauge(f, "lw_gate_level", "first rank refused (8000: none)", s->level);
-	fprintf(f, "# HELP lw_gate_wait_seconds wait in front of the backend server\n"
+	gauge(f, "lw_gate_service_us", "average execution time of a request", s->load.service_us);
+	gauge(f, "lw_gate_level", "admission threshold: first rank refused (8000: none)", s->level);
+	fprintf(f, "# HELP lw_gate_wait_seconds wait in the queue of the backend server\n"
 		   "# TYPE lw_gate_wait_seconds histogram\n");
 	lw_histogram_print(f, "lw_gate_wait_seconds", "kind=\"all\"", &s->gate.wait);
 }
@@ -158,46 +183,55 @@
 {
 	if (!s->norgs)
 		return;
-	fprintf(f, "# HELP lw_organisation_requests_total of organisations with a limit\n"
+	fprintf(f, "# HELP lw_organisation_requests_total requests of organisations with a limit\n"
 		   "# TYPE lw_organisation_requests_total counter\n");
 	for (size_t i = 0; i < s->norgs; i++)
 		print_organisation(f, s->orgs[i].name, &s->orgs[i]);
 	print_organisation(f, "others", &s->other_orgs);
-	fprintf(f, "# HELP lw_organisation_admit_permille of its requests, as the keepers told\n"
-		   "# TYPE lw_organisation_admit_permille gauge\n");
+	fprintf(f,
+		"# HELP lw_organisation_admit_permille admitted share of requests, from the coordinators\n"
+		"# TYPE lw_organisation_admit_permille gauge\n");
 	for (size_t i = 0; i < s->norgs; i++)
 		fprintf(f, "lw_organisation_admit_permille{organisation=\"%s\"} %u\n",
 			s->orgs[i].name, s->orgs[i].admit_permille);
-	gauge(f, "lw_limits_alone", "1: no keeper of limits is heard of", s->quota_alone);
+	gauge(f, "lw_limits_alone", "1: no quota coordinator replies", s->quota_alone);
 }
 
 static void print_rest(FILE *f, const lw_proxystats_t *s)
 {
-	counter(f, "lw_callers_accepted_total", "connections of callers", s->callers.accepted);
-	counter(f, "lw_callers_malformed_total", "requests that were no proper HTTP/1.1",
+	counter(f, "lw_callers_accepted_total", "connections accepted from callers",
+		s->callers.accepted);
+	counter(f, "lw_callers_malformed_total", "requests that were not valid HTTP/1.1",
 		s->callers.malformed);
-	counter(f, "lw_callers_too_large_total", "heads or bodies above the limits",
+	counter(f, "lw_callers_too_large_total", "requests with a head or body above the limits",
 		s->callers.too_large);
-	counter(f, "lw_callers_left_total", "callers that left before their answer",
+	counter(f, "lw_callers_left_total", "callers that disconnected before their answer",
 		s->callers.left);
 	gauge(f, "lw_callers_open", "open connections of callers", s->connections);
-	gauge(f, "lw_active", "requests under way", s->active);
+	gauge(f, "lw_active", "requests in progress", s->active);
 	counter(f, "lw_links_opened_total", "connections opened to other nodes",
 		s->mesh.links_opened);
-	counter(f, "lw_links_lost_total", "of any direction, ended", s->mesh.links_lost);
-	counter(f, "lw_links_silent_total", "given up as silent", s->mesh.links_silent);
-	counter(f, "lw_link_queries_total", "asked what became of the requests on a lost one",
-		s->mesh.queries);
-	counter(f, "lw_requests_moved_total", "went on over another connection", s->mesh.moved);
-	counter(f, "lw_requests_never_received_total", "never reached the peer, placed elsewhere",
+	counter(f, "lw_links_lost_total",
+		"connections between nodes that ended, in either direction", s->mesh.links_lost);
+	counter(f, "lw_links_silent_total",
+		"connections between nodes closed because nothing was received",
+		s->mesh.links_silent);
+	counter(f, "lw_link_queries_total",
+		"queries for the outcome of the requests of a lost connection", s->mesh.queries);
+	counter(f, "lw_requests_moved_total", "requests continued over another connection",
+		s->mesh.moved);
+	counter(f, "lw_requests_never_received_total",
+		"requests that never reached the peer and were sent elsewhere",
 		s->mesh.never_received);
 	counter(f, "lw_frames_in_total", "frames received", s->mesh.frames_in);
 	counter(f, "lw_frames_out_total", "frames sent", s->mesh.frames_out);
 	counter(f, "lw_mesh_bytes_out_total", "bytes sent to other nodes", s->mesh.bytes_out);
-	counter(f, "lw_control_bytes_total", "of these, beside requests and answers",
+	counter(f, "lw_control_bytes_total",
+		"of these, bytes of frames other than requests and answers",
 		lw_mesh_control_bytes(&s->mesh));
-	fprintf(f, "# HELP lw_control_frame_bytes_total queued for other nodes, by kind of frame\n"
-		   "# TYPE lw_control_frame_bytes_total counter\n");
+	fprintf(f,
+		"# HELP lw_control_frame_bytes_total bytes queued for other nodes, by kind of frame\n"
+		"# TYPE lw_control_frame_bytes_total counter\n");
 	for (size_t i = 0; i < LW_MESH_FRAME_KINDS; i++)
 		if (lw_mesh_control_name(i))
 			fprintf(f, "lw_control_frame_bytes_total{kind=\"%s\"} %llu\n",
@@ -207,23 +241,28 @@
 	for (int i = 0; i < LW_FEED_WHY_COUNT; i++)
 		fprintf(f, "lw_store_calls_total{why=\"%s\"} %llu\n",
 			lw_feed_why_name((lw_feed_why_t)i), (unsigned long long)s->feed.calls[i]);
-	counter(f, "lw_store_failures_total", "of these, failed", s->feed.failures);
-	counter(f, "lw_store_resyncs_total", "times everything was read anew", s->feed.resyncs);
+	counter(f, "lw_store_failures_total", "calls to the configuration store that failed",
+		s->feed.failures);
+	counter(f, "lw_store_resyncs_total", "full reads of the configuration store",
+		s->feed.resyncs);
 	gauge(f, "lw_store_reader", "1: this node reads the store for others", s->reader);
-	gauge(f, "lw_store_news_age_ms", "since the store was last read by anyone", s->news_age_ms);
-	gauge(f, "lw_suspects", "requests tried alone or held, as backend servers ended under them",
+	gauge(f, "lw_store_news_age_ms", "milliseconds since the store was last read by any node",
+	      s->news_age_ms);
+	gauge(f, "lw_suspects",
+	      "requests isolated or refused because backend servers crashed while executing them",
 	      s->suspects);
-	gauge(f, "lw_config_version", "configuration in force", s->config_version);
+	gauge(f, "lw_config_version", "version of the configuration in force", s->config_version);
 	gauge(f, "lw_servers", "backend servers in the list", s->servers);
-	gauge(f, "lw_servers_revision", "revision of that list",
+	gauge(f, "lw_servers_revision", "revision of the list of backend servers",
 	      lw_storepos_revision(s->servers_revision));
-	gauge(f, "lw_store_era", "era of the store that it is of",
+	gauge(f, "lw_store_era", "store era of the list of backend servers",
 	      lw_storepos_era(s->servers_revision));
-	gauge(f, "lw_loop_longest_turn_us", "longest turn of the request loop since the start",
+	gauge(f, "lw_loop_longest_turn_us", "longest iteration of the event loop since the start",
 	      s->longest_turn_us);
-	gauge(f, "lw_ready", "1: callers may come", s->ready);
+	gauge(f, "lw_ready", "1: ready for requests of callers", s->ready);
 	gauge(f, "lw_leaving", "1: stopping", s->leaving);
-	counter(f, "lw_log_dropped_total", "log lines dropped for volume", s->log_dropped);
+	counter(f, "lw_log_dropped_total", "log lines dropped to bound the log volume",
+		s->log_dropped);
 }
 
 static void on_request(void *ctx, const lw_http_req_t *req, lw_http_resp_t *resp)
@@ -258,7 +297,10 @@
 	resp->len = len;
 }
 
-/* lw_proxystats_serve() - serve GET /metrics and /status at "ip:port" on a thread of its own. */
+/*
+ * lw_proxystats_serve() - serves GET /metrics and /status at "ip:port" on a
+ * separate thread.
+ */
 lw_status_t lw_proxystats_serve(const char *addr)
 {
 	static lw_httpd_t *httpd;
--- a/src/proxystats.h
+++ b/src/proxystats.h
@@ -1,7 +1,8 @@
 /*
- * The metrics page of the proxy. The loop copies its figures twice a second;
- * the page is written from the copy, so that no reader holds up a request. The
- * status is written by the loop itself, only while somebody waits for it.
+ * The metrics page of the proxy. The event loop copies its figures twice a second
+ * and the page is written from the copy, so that no reader of the page delays a
+ * request. The status page is written by the event loop itself, only while a
+ * client waits for it.
  */
 #ifndef LW_PROXYSTATS_H
 #define LW_PROXYSTATS_H
@@ -11,10 +12,10 @@
 #include "feed.h"
 #include "mesh.h"
 
-/* Organisations that are counted by name; the rest is one row. */
+/* Organisations that are counted by name; all others share one row. */
 #define LW_PROXYSTATS_ORGS 16
 
-/* One look at everything that is counted. */
+/* A snapshot of all counters and gauges. */
 typedef struct lw_proxystats {
 	lw_engine_stats_t engine;
 	lw_gate_stats_t gate;
@@ -22,7 +23,7 @@
 	lw_callers_stats_t callers;
 	lw_feed_stats_t feed;
 	lw_load_t load;
-	const lw_routestats_t *routes; /* copied when it is published */
+	const lw_routestats_t *routes; /* copied by lw_proxystats_publish() */
 	uint32_t connections;
 	uint32_t active;
 	uint32_t level;
@@ -34,8 +35,8 @@
 	lw_quota_count_t orgs[LW_PROXYSTATS_ORGS];
 	size_t norgs;
 	lw_quota_count_t other_orgs;
-	bool quota_alone; /* limits are kept by this node's own part */
-	size_t suspects; /* requests under which backend servers ended */
+	bool quota_alone; /* no quota coordinator replies: this node enforces limits alone */
+	size_t suspects; /* requests during which backend servers crashed */
 	uint64_t longest_turn_us;
 	bool reader;
 	bool ready;
--- a/src/proxystatus.c
+++ b/src/proxystatus.c
@@ -7,9 +7,9 @@
 #include "level.h"
 #include "storepos.h"
 
-/* organisations shown by name */
+/* most organisations shown by name */
 #define ORGS_SHOWN 32
-/* requests shown that servers ended under */
+/* most suspect requests shown */
 #define SUSPECTS_SHOWN 32
 
 static const char *state_of(const lw_place_host_t *h, uint64_t now_us)
@@ -60,7 +60,10 @@
 	}
 }
 
-/* where this node has its news from, to whom it passes it on, and what that costs */
+/*
+ * Prints where this node gets store updates from, to how many nodes it forwards
+ * them, and the cost.
+ */
 static void print_store_reading(FILE *f, const lw_proxystatus_t *s)
 {
 	uint64_t calls = 0;
@@ -122,7 +125,7 @@
 		others.asked, others.refused);
 }
 
-/* lw_proxystatus_print() - one item a line, key=value fields. */
+/* lw_proxystatus_print() - prints one item per line, as key=value fields. */
 void lw_proxystatus_print(FILE *f, const lw_proxystatus_t *s)
 {
 	const lw_engine_t *e = s->engine;
--- a/src/proxystatus.h
+++ b/src/proxystatus.h
@@ -1,7 +1,8 @@
 /*
- * What a node believes at this moment, as text for operators: configuration,
- * its backend server, the other servers with the age of the news about each,
- * and which services on the way of a route refuse work.
+ * The status page: the state of a node as text for operators, with its
+ * configuration, its backend server, the other servers with the age of the last
+ * report about each, and the services on a route's call path that refuse
+ * requests.
  */
 #ifndef LW_PROXYSTATUS_H
 #define LW_PROXYSTATUS_H
@@ -14,19 +15,18 @@
 #include "feed.h"
 #include "spread.h"
 
-/* What the status tells beside the engine's own state. */
+/* Contents of the status page that are not part of the engine's state. */
 typedef struct lw_proxystatus {
 	const lw_engine_t *engine;
 	uint64_t servers_revision;
 	uint32_t news_age_ms;
 	bool ready;
 	bool reader;
-	bool reads_store; /* the store, now */
+	bool reads_store; /* this node reads the store at present */
 	lw_feed_why_t reads_why;
-	const char
-		*peer_read_from; /* the node that told the newest news of others; empty: none did */
+	const char *peer_read_from; /* the node that reported the newest store read; empty: none */
 	const lw_spread_t *spread;
-	const char (*quota_coordinator)[LW_NAME_MAX]; /* LW_QUOTA_KEEPERS of them */
+	const char (*quota_coordinator)[LW_NAME_MAX]; /* array of LW_QUOTA_KEEPERS addresses */
 	const lw_mesh_stats_t *mesh;
 	const lw_feed_stats_t *feed;
 } lw_proxystatus_t;
