--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -34,10 +34,9 @@
 }
 
 /*
- * Symptom: a typo in a published document puts a node out of service.
- * Sequence: a document with a bad value is published.
- * Cause: a half-read document. Every one is refused whole, with a
- *   message naming the key and the remedy.
+ * A typo in a published document must not put a node out of service, as applying
+ * half of an invalid document would: the document is rejected as a whole, with a
+ * message that names the key and the remedy.
  */
 static void config_bad_refused_with_remedy(void)
 {
@@ -76,10 +75,8 @@
 }
 
 /*
- * Symptom (found by make fuzz): a node's memory grows with every broken
- *   configuration that is published.
- * Sequence: a document that is not TOML is read again and again.
- * Cause: the parser threw past the only pointer to its new document.
+ * A document that is not TOML and is read again and again must not leak memory:
+ * the parser throws, which must free the new document.
  */
 static void broken_document_leaks_nothing(void)
 {
@@ -93,10 +90,9 @@
 }
 
 /*
- * Symptom (found by make fuzz): one published document ends every node.
- * Sequence: a document with stray characters in a table's name is read.
- * Cause: the TOML library asserts on them. Its asserts now throw, and are
- *   parse errors like any other.
+ * One published document must not abort every node: the TOML library asserts on
+ * stray characters in a table name; its asserts are turned into exceptions and
+ * become parse errors.
  */
 static void odd_table_names_refused(void)
 {
@@ -109,7 +105,7 @@
 	CU_ASSERT_PTR_NOT_NULL(strstr(lw_error_last(), "not TOML"));
 }
 
-/* Operators write comments in their own language. */
+/* Operators write comments in their own languages. */
 static void letters_beyond_ascii_allowed(void)
 {
 	static const char doc[] = "# Szczyt: więcej rejestracji, පීක්\n"
--- a/tests/test_documents.c
+++ b/tests/test_documents.c
@@ -1,4 +1,4 @@
-/* Documents of the platform's store and the settings of lwproxy. */
+/* Tests of the store's documents and of the settings of lwproxy. */
 #include <stdio.h>
 #include <string.h>
 
@@ -73,9 +73,9 @@
 #define STATUS	"{\"state\":\"ready\",\"cold_remaining_s\":0,\"sequence\":4}"
 
 /*
- * Symptom: work goes to a server that does not exist, or a server that drains
- * counts as ready. Sequence: an entry of another writer, with fields missing
- * or of another type, is read with defaults in their place. Cause: defaults.
+ * An entry of an unknown writer, with fields missing or of the wrong type, must
+ * be rejected. If defaults took the place of the fields, requests would go to a
+ * server that does not exist, or a draining server would count as ready.
  */
 static void test_server_refused(void)
 {
@@ -118,9 +118,8 @@
 }
 
 /*
- * Symptom: a node is ended by an entry, or takes a spoiled one for good.
- * Sequence: a valid entry with any one byte changed. Cause: none known; the
- * document either is refused or says something that a server may say.
+ * A valid entry with any one byte changed must not crash the node, and must
+ * either be rejected or give values that a server may register.
  */
 static void test_server_mutated(void)
 {
@@ -140,9 +139,9 @@
 }
 
 /*
- * Symptom: a route loses its timeout, or a split half of its weight, by one
- * spoiled document. Sequence: a field of another type is read as its default.
- * Cause: defaults; now the error names the field and the old version stays.
+ * A field of the wrong type must be an error that names the field, and the
+ * previous version stays in force. If the default were used, one corrupted
+ * document could take away a route's timeout or the weight of a destination.
  */
 static void test_config_field_types(void)
 {
@@ -194,16 +193,17 @@
 	CU_ASSERT_EQUAL(parse("[listen]\nmesh_port=70000\n"), LW_ERR_SETTINGS);
 }
 
-/* suite_documents() - register the tests of this file. */
+/* suite_documents() - registers the tests of this file. */
 void suite_documents(void)
 {
 	CU_pSuite s = CU_add_suite("documents", NULL, NULL);
 
 	CU_add_test(s, "a configuration is read", test_config);
-	CU_add_test(s, "a malformed configuration is refused", test_config_refused);
+	CU_add_test(s, "a malformed configuration is rejected", test_config_refused);
 	CU_add_test(s, "a server's entry is read", test_server);
-	CU_add_test(s, "an entry of another writer names no server", test_server_refused);
-	CU_add_test(s, "an entry with a spoiled byte is refused or whole", test_server_mutated);
+	CU_add_test(s, "an entry of an unknown writer is rejected", test_server_refused);
+	CU_add_test(s, "an entry with a corrupted byte is rejected or complete",
+		    test_server_mutated);
 	CU_add_test(s, "a field of the wrong type is named", test_config_field_types);
 	CU_add_test(s, "settings are checked", test_settings);
 }
