--- a/src/confwatch.c
+++ b/src/confwatch.c
@@ -1,7 +1,8 @@
 /*
- * The configuration in force: watched at the platform's configuration
- * service, and fetched from a peer that turns out to hold a newer one, so a
- * node that the service refuses, or serves old versions to, still follows.
+ * Keeps the configuration up to date: watches the platform's configuration
+ * service, and fetches a newer configuration from a peer that has one, so that a
+ * node to which the service refuses access or serves old versions still gets
+ * updates.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -18,15 +19,15 @@
 #include "xalloc.h"
 
 #define WATCH_WAIT_MS  5000
-#define WATCH_GRACE_MS 2000 /* a poll that outlasts its wait by this is dead */
+#define WATCH_GRACE_MS 2000 /* a poll that exceeds its wait by this is dead */
 #define RETRY_MIN_MS   250
 #define RETRY_MAX_MS   2000
 #define FETCH_MS       1000
 
 /*
- * Accept @pc if it is strictly newer than the configuration in force: an
- * older or equal version (a stale or lagging service, a peer that has not
- * heard yet) must never make a node go back. Takes ownership of @pc.
+ * Applies @pc if it is strictly newer than the configuration in force: an older
+ * or equal version (from a stale service or from a peer that lags behind) must
+ * never replace it. Takes ownership of @pc.
  */
 static void apply_if_newer(lw_node_t *n, lw_platconf_t *pc, const char *source)
 {
@@ -68,7 +69,7 @@
 }
 
 typedef struct watch {
-	char index[24]; /* the service's index of what we have seen */
+	char index[24]; /* the service's index of the last version received */
 	bool down;
 	uint32_t retry_ms;
 } watch_t;
@@ -79,7 +80,7 @@
 		lw_log(LW_LOG_config_unreachable, "service=%s status=%d", n->set.config_service,
 		       status);
 	w->down = true;
-	/* the whole fleet asks again when the service returns: spread it */
+	/* all nodes retry when the service returns: spread the retries */
 	usleep((useconds_t)(w->retry_ms / 2 + (uint32_t)lrand48() % w->retry_ms) * 1000);
 	w->retry_ms = w->retry_ms * 2 > RETRY_MAX_MS ? RETRY_MAX_MS : w->retry_ms * 2;
 }
@@ -98,7 +99,7 @@
 	} else {
 		w->down = false;
 		w->retry_ms = RETRY_MIN_MS;
-		/* the same index: the watch ended with no change */
+		/* same index: the watch ended without a change */
 		if (!r.index[0] || strcmp(r.index, w->index) != 0)
 			apply_text(n, r.body ? r.body : "", r.len, "config_service");
 		snprintf(w->index, sizeof(w->index), "%s", r.index[0] ? r.index : "0");
@@ -119,8 +120,9 @@
 }
 
 /*
- * lw_confwatch_peer_has() - the peer at @addr holds configuration @version
- * (told in a frame). A newer one than ours is fetched from it.
+ * lw_confwatch_peer_has() - the peer at @addr reported in a frame that it has
+ * configuration @version. If it is newer than the configuration in force, it is
+ * fetched from the peer.
  */
 void lw_confwatch_peer_has(lw_node_t *n, const char *addr, uint64_t version)
 {
@@ -179,7 +181,10 @@
 	return NULL;
 }
 
-/* lw_confwatch_fetching() - true while a newer version is known of and not here yet. */
+/*
+ * lw_confwatch_fetching() - returns whether a newer version is known but not yet
+ * fetched.
+ */
 bool lw_confwatch_fetching(lw_node_t *n)
 {
 	bool busy;
@@ -190,7 +195,10 @@
 	return busy;
 }
 
-/* lw_confwatch_start() - begin to watch the service and to listen for hints. */
+/*
+ * lw_confwatch_start() - starts to watch the service and to fetch newer versions
+ * from peers.
+ */
 void lw_confwatch_start(lw_node_t *n)
 {
 	pthread_t t;
--- a/src/counter.c
+++ b/src/counter.c
@@ -11,8 +11,8 @@
 static pthread_mutex_t counters_lock = PTHREAD_MUTEX_INITIALIZER;
 
 /*
- * lw_counter_new() - register a counter @name{@labels}. Counters live for
- * the whole process; they are created at start-up, not per request.
+ * lw_counter_new() - registers a counter @name{@labels}. Counters exist until the
+ * process ends and are created at startup, not per request.
  */
 lw_counter_t *lw_counter_new(const char *name, const char *help, const char *labels)
 {
@@ -28,7 +28,7 @@
 	return c;
 }
 
-/* lw_counter_add() - add @n, from any thread. */
+/* lw_counter_add() - adds @n; may be called from any thread. */
 void lw_counter_add(lw_counter_t *c, uint64_t n)
 {
 	__atomic_add_fetch(&c->value, n, __ATOMIC_RELAXED);
@@ -40,7 +40,7 @@
 	return __atomic_load_n(&c->value, __ATOMIC_RELAXED);
 }
 
-/* lw_counter_print() - write all counters to @f in Prometheus text format. */
+/* lw_counter_print() - writes all counters to @f in Prometheus text format. */
 void lw_counter_print(FILE *f)
 {
 	const char *last = "";
--- a/src/counter.h
+++ b/src/counter.h
@@ -1,6 +1,6 @@
 /*
- * Counters of our own, served in the Prometheus text format (version 0.0.4)
- * at /metrics. A counter is a name, a label set and an atomic count.
+ * Counters in the Prometheus text format (version 0.0.4), served at /metrics. A
+ * counter has a name, a label set and an atomic value.
  */
 #ifndef LW_COUNTER_H
 #define LW_COUNTER_H
--- a/src/histogram.c
+++ b/src/histogram.c
@@ -1,12 +1,12 @@
 /* Latency histograms; see histogram.h. */
 #include "histogram.h"
 
-/* upper bounds in milliseconds: about three to each power of ten */
+/* upper bounds of the buckets in milliseconds, about three per power of ten */
 static const uint32_t bounds_ms[LW_HISTOGRAM_BUCKETS] = {
 	1, 2, 5, 10, 20, 50, 100, 200, 400, 700, 1000, 2000, 5000, 10000,
 };
 
-/* lw_histogram_add() - count one duration of @us microseconds. */
+/* lw_histogram_add() - adds one duration of @us microseconds. */
 void lw_histogram_add(lw_histogram_t *h, uint64_t us)
 {
 	int i = 0;
@@ -17,7 +17,7 @@
 	h->sum_us += us;
 }
 
-/* lw_histogram_print() - write @h as @name with @labels (without braces). */
+/* lw_histogram_print() - writes @h as metric @name with @labels (without braces). */
 void lw_histogram_print(FILE *f, const char *name, const char *labels, const lw_histogram_t *h)
 {
 	uint64_t total = 0;
--- a/src/histogram.h
+++ b/src/histogram.h
@@ -8,7 +8,7 @@
 #define LW_HISTOGRAM_BUCKETS 14
 
 typedef struct lw_histogram {
-	uint64_t count[LW_HISTOGRAM_BUCKETS + 1]; /* the last one has no bound */
+	uint64_t count[LW_HISTOGRAM_BUCKETS + 1]; /* the last bucket has no upper bound */
 	uint64_t sum_us;
 } lw_histogram_t;
 
--- a/src/linux/clock.c
+++ b/src/linux/clock.c
@@ -1,6 +1,7 @@
 /*
- * Monotonic time. Wall-clock time is never used for deadlines: processes
- * pause and clocks of hosts differ, so deadlines travel as relative ms.
+ * Monotonic time. Wall-clock time is never used for deadlines: processes can be
+ * paused and the clocks of hosts differ, so deadlines are transmitted as relative
+ * milliseconds.
  */
 #include "clock.h"
 
@@ -22,8 +23,8 @@
 }
 
 /*
- * lw_now_boot_us() - CLOCK_BOOTTIME in microseconds: also counts the time a
- * host was suspended, which CLOCK_MONOTONIC does not.
+ * lw_now_boot_us() - CLOCK_BOOTTIME in microseconds: includes the time a host was
+ * suspended, which CLOCK_MONOTONIC does not.
  */
 uint64_t lw_now_boot_us(void)
 {
@@ -33,7 +34,10 @@
 	return (uint64_t)ts.tv_sec * 1000000 + (uint64_t)ts.tv_nsec / 1000;
 }
 
-/* lw_cond_init_monotonic() - a condition variable timed on CLOCK_MONOTONIC. */
+/*
+ * lw_cond_init_monotonic() - initialises a condition variable whose timeouts use
+ * CLOCK_MONOTONIC.
+ */
 void lw_cond_init_monotonic(pthread_cond_t *c)
 {
 	pthread_condattr_t a;
@@ -44,7 +48,10 @@
 	pthread_condattr_destroy(&a);
 }
 
-/* lw_cond_wait_until() - wait on @c until signalled or @until_ms passes. */
+/*
+ * lw_cond_wait_until() - waits on @c until it is signalled or until @until_ms
+ * (CLOCK_MONOTONIC); returns 0 or ETIMEDOUT.
+ */
 int lw_cond_wait_until(pthread_cond_t *c, pthread_mutex_t *m, uint64_t until_ms)
 {
 	struct timespec ts = { (time_t)(until_ms / 1000), (long)(until_ms % 1000) * 1000000 };
--- a/src/linux/sock.c
+++ b/src/linux/sock.c
@@ -14,19 +14,20 @@
 
 #include "../settings.h"
 
-/* a connection whose peer stops acknowledging fails after this long */
+/* a connection fails if its peer acknowledges nothing for this long */
 #define SOCK_USER_TIMEOUT_MS 2000
 #define SOCK_SEND_TIMEOUT_S  3
 /*
- * The same for a reader that may pause. The kernel counts a shut window like a
- * peer that is gone, although its probes are answered: callers that read nothing
- * for two seconds found their answers cut, and uploads to a server that did
- * ended 502.
+ * The same for a reader that may pause. The kernel treats a closed receive window
+ * like a vanished peer, although its probes are answered: callers that read
+ * nothing for two seconds got truncated answers, and uploads to a server that
+ * paused ended with status 502.
  */
 #define SOCK_PAUSE_TIMEOUT_MS 15000
 /*
- * Connections waiting to be accepted. A full queue drops the opening packet,
- * which is sent again only after a second: as long as callers wait for one.
+ * Largest number of connections that wait to be accepted. A full queue drops the
+ * SYN packet, which is sent again only after a second: as long as callers wait
+ * for an answer.
  */
 #define SOCK_BACKLOG	 4096
 #define SOCK_KEEPIDLE_S	 1
@@ -50,7 +51,10 @@
 	return LW_OK;
 }
 
-/* lw_sock_listen() - a listening TCP socket on "ip:port". */
+/*
+ * lw_sock_listen() - opens a listening TCP socket on "ip:port". LW_ERR_SETTINGS
+ * for an invalid address, LW_ERR_IO if the socket cannot be opened.
+ */
 lw_status_t lw_sock_listen(const char *addr, int *fd)
 {
 	struct sockaddr_in sa;
@@ -73,9 +77,10 @@
 }
 
 /*
- * lw_sock_tune() - options of a connection between nodes: no Nagle delay,
- * and every way a vanished peer could hang us is bounded (unacknowledged
- * data, a full send buffer, an idle connection whose other end is gone).
+ * lw_sock_tune() - sets the options of a connection between nodes: no Nagle
+ * delay, and a time limit for every way in which a vanished peer could block this
+ * process (unacknowledged data, a full send buffer, an idle connection whose peer
+ * is gone).
  */
 void lw_sock_tune(int fd)
 {
@@ -92,7 +97,10 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &cnt, sizeof(cnt));
 }
 
-/* lw_sock_allow_pauses() - whether the reader at the other end of @fd may pause for seconds. */
+/*
+ * lw_sock_allow_pauses() - sets whether the reader at the other end of @fd may
+ * pause for seconds.
+ */
 void lw_sock_allow_pauses(int fd, bool allow)
 {
 	int ut = allow ? SOCK_PAUSE_TIMEOUT_MS : SOCK_USER_TIMEOUT_MS;
@@ -100,7 +108,10 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ut, sizeof(ut));
 }
 
-/* lw_sock_peer() - the IP address at the other end of @fd; empty if it is not known. */
+/*
+ * lw_sock_peer() - copies the IP address of the other end of @fd to @dst; empty
+ * if unknown.
+ */
 void lw_sock_peer(int fd, char *dst, size_t len)
 {
 	struct sockaddr_in sa = { 0 };
@@ -113,8 +124,8 @@
 }
 
 /*
- * lw_sock_accept() - a connection waiting on the listening socket @lfd, non-
- * blocking; -1 with errno set if there is none.
+ * lw_sock_accept() - accepts a connection on the listening socket @lfd. The new
+ * socket is non-blocking; -1 with errno set if no connection waits.
  */
 int lw_sock_accept(int lfd)
 {
@@ -126,9 +137,9 @@
 }
 
 /*
- * lw_sock_start_connect() - begin to connect to "ip:port" without waiting.
- * The socket is non-blocking; it turns writable when the outcome is known,
- * which lw_sock_connected() tells.
+ * lw_sock_start_connect() - starts to connect to "ip:port" without waiting. The
+ * socket is non-blocking; it becomes writable when the result is known, which
+ * lw_sock_connected() returns.
  */
 lw_status_t lw_sock_start_connect(const char *addr, int *fd)
 {
@@ -152,15 +163,15 @@
 	return LW_OK;
 }
 
-/* lw_sock_nonblock() - calls on @fd never wait from now on. */
+/* lw_sock_nonblock() - makes @fd non-blocking. */
 void lw_sock_nonblock(int fd)
 {
 	fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) | O_NONBLOCK);
 }
 
 /*
- * lw_sock_connect_error() - why the connection begun on @fd does not stand, as an
- * errno value; 0: it stands.
+ * lw_sock_connect_error() - the error of the connection attempt on @fd, as an
+ * errno value; 0 if the connection is established.
  */
 int lw_sock_connect_error(int fd)
 {
@@ -170,16 +181,16 @@
 	return getsockopt(fd, SOL_SOCKET, SO_ERROR, &err, &len) ? errno : err;
 }
 
-/* lw_sock_connected() - true once the connection begun on @fd stands. */
+/* lw_sock_connected() - returns whether the connection attempt on @fd has succeeded. */
 bool lw_sock_connected(int fd)
 {
 	return lw_sock_connect_error(fd) == 0;
 }
 
 /*
- * lw_sock_abort() - close @fd and discard what was not sent yet. After an
- * ordinary close the kernel goes on sending, and a request given up on
- * could still reach its peer when a cut heals.
+ * lw_sock_abort() - closes @fd and discards unsent data. After an ordinary close
+ * the kernel would keep sending, and a request that was given up could still
+ * reach its peer when a network partition ends.
  */
 void lw_sock_abort(int fd)
 {
@@ -189,7 +200,10 @@
 	close(fd);
 }
 
-/* lw_sock_stale() - true when an idle connection was closed or has stray bytes. */
+/*
+ * lw_sock_stale() - returns whether an idle connection was closed by its peer or
+ * has unexpected bytes to read.
+ */
 bool lw_sock_stale(int fd)
 {
 	char c;
@@ -199,9 +213,9 @@
 }
 
 /*
- * lw_sock_connect() - connect to "ip:port" within @timeout_ms. The socket
- * is blocking afterwards, with TCP_NODELAY and TCP_USER_TIMEOUT set so a
- * peer that vanishes fails writes instead of hanging them.
+ * lw_sock_connect() - connects to "ip:port" within @timeout_ms. The socket is
+ * blocking afterwards, with TCP_NODELAY and TCP_USER_TIMEOUT set, so that writes
+ * to a vanished peer fail instead of blocking forever.
  */
 lw_status_t lw_sock_connect(const char *addr, int timeout_ms, int *fd)
 {
--- a/src/linux/sock.h
+++ b/src/linux/sock.h
@@ -1,4 +1,4 @@
-/* TCP sockets by IP address, with the options a node needs. */
+/* TCP sockets addressed by IP, with the options for connections between nodes. */
 #ifndef LW_LINUX_SOCK_H
 #define LW_LINUX_SOCK_H
 
--- a/src/platconf.c
+++ b/src/platconf.c
@@ -1,7 +1,7 @@
 /*
- * Parsing and checking of the platform configuration document. A document
- * that fails any check is refused whole, so a node never runs half of a
- * bad configuration; the message names the key, the line and the remedy.
+ * Parses and checks the platform's configuration document. A document that fails
+ * any check is rejected as a whole, so that a node never runs with half of an
+ * invalid configuration; the message names the key, the line and the remedy.
  */
 #include "platconf.h"
 
@@ -21,7 +21,7 @@
 	return cls < LW_CLASS_COUNT ? class_names[cls] : "?";
 }
 
-/* lw_class_parse() - the class named @s, or -1. */
+/* lw_class_parse() - the class named @s, or -1 if there is none. */
 int lw_class_parse(lw_str_t s)
 {
 	for (int i = 0; i < LW_CLASS_COUNT; i++)
@@ -92,7 +92,7 @@
 		return bad(cls ? cls : n, "class", "missing or unknown",
 			   "use sheddable, default or critical");
 	r->cls = (lw_class_t)lw_class_parse(s);
-	r->idempotent = false; /* what may be repeated has to say so */
+	r->idempotent = false; /* only a route marked idempotent may be retried after execution */
 	if (lw_toml_get(n, "idempotent") &&
 	    !lw_toml_bool(lw_toml_get(n, "idempotent"), &r->idempotent))
 		return bad(n, "idempotent", "not a boolean", "write true or false");
@@ -223,11 +223,11 @@
 }
 
 /*
- * lw_platconf_parse() - parse and check a configuration document.
+ * lw_platconf_parse() - parses and checks a configuration document.
  * @text, @len: the TOML bytes, at most 1 MiB (the platform's value limit).
  * @out: set to a new document on success; free with lw_platconf_free().
  *
- * Returns LW_OK, or LW_ERR_CONFIG with a message naming line, key and remedy.
+ * Returns LW_OK, or LW_ERR_CONFIG with a message that names line, key and remedy.
  */
 lw_status_t lw_platconf_parse(const char *text, size_t len, lw_platconf_t **out)
 {
@@ -258,7 +258,7 @@
 	return LW_OK;
 }
 
-/* lw_platconf_free() - release @pc; NULL is fine. */
+/* lw_platconf_free() - releases @pc; NULL is allowed. */
 void lw_platconf_free(lw_platconf_t *pc)
 {
 	if (!pc)
@@ -272,8 +272,8 @@
 }
 
 /*
- * lw_platconf_route() - the route "service/name" in the preset in force, or
- * NULL when the preset does not list it (callers then use the default class).
+ * lw_platconf_route() - the route "service/name" in the preset in force; NULL if
+ * the preset does not list it (callers then use the default class).
  */
 const lw_route_t *lw_platconf_route(const lw_platconf_t *pc, lw_str_t route)
 {
--- a/src/platconf.h
+++ b/src/platconf.h
@@ -1,7 +1,7 @@
 /*
- * The platform configuration document: what operators publish through the
- * configuration service. It names the presets, the one in force, and the
- * host list of every service. The system only reads it.
+ * The platform's configuration document, which operators publish through the
+ * configuration service: the presets, the preset in force, and the host list of
+ * every service. Nodes only read it.
  */
 #ifndef LW_PLATCONF_H
 #define LW_PLATCONF_H
@@ -14,7 +14,7 @@
 #include "status.h"
 
 typedef enum lw_class {
-	LW_CLASS_SHEDDABLE = 0, /* browsing, whois lookups: shed first */
+	LW_CLASS_SHEDDABLE = 0, /* browsing, whois lookups: refused first under overload */
 	LW_CLASS_DEFAULT,
 	LW_CLASS_CRITICAL, /* registrations, renewals, commissions, deposits */
 	LW_CLASS_COUNT
@@ -30,11 +30,11 @@
 
 typedef struct lw_preset {
 	char name[LW_NAME_MAX];
-	uint32_t retry_budget; /* retries for one user request, whole chain */
+	uint32_t retry_budget; /* most retries for one user request, over its whole call chain */
 	double retry_ratio; /* retry tokens earned per request at a node */
-	uint32_t queue_ms; /* longest wait in the admission queue */
-	uint32_t timeout_ms; /* per-attempt timeout towards a peer */
-	double share[LW_CLASS_COUNT]; /* share of the limit a class may fill */
+	uint32_t queue_ms; /* longest wait in the admission queue, ms */
+	uint32_t timeout_ms; /* timeout of one attempt at a peer, ms */
+	double share[LW_CLASS_COUNT]; /* share of the concurrency limit a class may use */
 	lw_route_t *routes;
 	size_t nroutes;
 } lw_preset_t;
@@ -54,7 +54,7 @@
 	lw_host_t *hosts;
 	size_t nhosts;
 	uint64_t hash; /* xxh64 of the document bytes */
-	char *text; /* the document as read, for serving to peers */
+	char *text; /* the document as read, sent to peers */
 	size_t textlen;
 } lw_platconf_t;
 
--- a/src/proxy_int.h
+++ b/src/proxy_int.h
@@ -36,8 +36,8 @@
 	uint64_t peer_read_us; /* time of the last reported store read by another node */
 	char peer_read_from[LW_NAME_MAX]; /* the node that reported it */
 	uint64_t forwarded_us; /* store_read_us as last forwarded to other nodes */
-	uint64_t read_until_us; /* this node reads the store itself until then */
-	bool reads_store; /* this node reads the store itself */
+	uint64_t read_until_us; /* this node keeps reading the store at least until then */
+	bool reads_store; /* this node reads the store at present */
 	lw_feed_why_t reads_why;
 	ev_timer query_timer;
 	lw_spread_t spread; /* this node's part in the dissemination of store updates */
--- a/src/settings.c
+++ b/src/settings.c
@@ -30,7 +30,7 @@
 	KS("config_service", "key", LW_KEY_NAME, config_key),
 };
 
-/* lw_settings_defaults() - the settings a node has before any file is read. */
+/* lw_settings_defaults() - the settings before a file is read. */
 void lw_settings_defaults(lw_settings_t *s)
 {
 	memset(s, 0, sizeof(*s));
@@ -47,9 +47,9 @@
 }
 
 /*
- * lw_settings_parse() - apply the TOML @text (named @name in messages) on
- * top of @s, then check the result. LW_ERR_SETTINGS names file, line, key
- * and remedy.
+ * lw_settings_parse() - applies the TOML @text (named @name in messages) on top
+ * of @s and checks the result. LW_ERR_SETTINGS with a message that names file,
+ * line, key and remedy.
  */
 lw_status_t lw_settings_parse(const char *name, const char *text, size_t len, lw_settings_t *s)
 {
@@ -58,7 +58,10 @@
 	return st ? st : lw_settings_check(name, s);
 }
 
-/* lw_settings_load() - read the file at @path and apply it to @s. */
+/*
+ * lw_settings_load() - reads the file at @path and applies it to @s, like
+ * lw_settings_parse().
+ */
 lw_status_t lw_settings_load(const char *path, lw_settings_t *s)
 {
 	lw_status_t st = lw_tomlkeys_load(path, keys, NKEYS, s);
@@ -66,7 +69,10 @@
 	return st ? st : lw_settings_check(path, s);
 }
 
-/* lw_addr_split() - split "ip:port" into @host and @port. */
+/*
+ * lw_addr_split() - splits "ip:port" into @host and @port. LW_ERR_SETTINGS if the
+ * address is invalid.
+ */
 lw_status_t lw_addr_split(const char *addr, char *host, size_t hostlen, int *port)
 {
 	const char *colon = strrchr(addr, ':');
@@ -86,7 +92,7 @@
 	return LW_OK;
 }
 
-/* lw_settings_check() - the checks that do not depend on the file's shape. */
+/* lw_settings_check() - checks the values, whatever source they came from. */
 lw_status_t lw_settings_check(const char *name, const lw_settings_t *s)
 {
 	const char *addrs[] = { s->listen, s->peer_listen, s->admin, s->backend,
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,6 +1,6 @@
 /*
- * Node settings: what one lwnode is told about itself, from a TOML file.
- * Command-line values override the file (lwnode.c applies them).
+ * Settings of one lwnode, from a TOML file. Command-line options override the
+ * file (lwnode.c applies them).
  */
 #ifndef LW_SETTINGS_H
 #define LW_SETTINGS_H
@@ -13,11 +13,11 @@
 typedef struct lw_settings {
 	char service[LW_NAME_MAX];
 	char zone[LW_NAME_MAX];
-	char listen[LW_NAME_MAX]; /* HTTP: callers and the local backend's calls */
-	char peer_listen[LW_NAME_MAX]; /* frames from other nodes */
-	char advertise[LW_NAME_MAX]; /* as in the host list; empty: peer_listen */
+	char listen[LW_NAME_MAX]; /* HTTP, for callers and for calls of the local backend server */
+	char peer_listen[LW_NAME_MAX]; /* for frames from other nodes */
+	char advertise[LW_NAME_MAX]; /* address in the host list; empty: peer_listen */
 	char admin[LW_NAME_MAX]; /* /metrics, /status, /drain */
-	char backend[LW_NAME_MAX]; /* the local backend server */
+	char backend[LW_NAME_MAX]; /* address of the local backend server */
 	uint32_t backend_slots;
 	char config_service[LW_NAME_MAX];
 	char config_key[LW_NAME_MAX];
--- a/src/status.c
+++ b/src/status.c
@@ -1,4 +1,4 @@
-/* Status codes with a per-thread last message. */
+/* Status codes and the message of the last error, per thread. */
 #include "status.h"
 
 #include <stdarg.h>
@@ -7,8 +7,8 @@
 static __thread char last_msg[512];
 
 /*
- * lw_error() - record a failure of @kind with a message naming the remedy.
- * Returns @kind so callers can write "return lw_error(...)".
+ * lw_error() - records an error of @kind with a message that names the remedy.
+ * Returns @kind, so that callers can write "return lw_error(...)".
  */
 lw_status_t lw_error(lw_status_t kind, const char *fmt, ...)
 {
@@ -20,13 +20,13 @@
 	return kind;
 }
 
-/* lw_error_last() - the message of this thread's last lw_error(). */
+/* lw_error_last() - the message of the last lw_error() in this thread. */
 const char *lw_error_last(void)
 {
 	return last_msg;
 }
 
-/* lw_status_name() - short stable name of @st for logs. */
+/* lw_status_name() - short, stable name of @st for logs. */
 const char *lw_status_name(lw_status_t st)
 {
 	switch (st) {
--- a/src/timer.c
+++ b/src/timer.c
@@ -39,7 +39,10 @@
 			sub_t *s = &t->subs[i];
 
 			if (s->next_ms <= now) {
-				/* called without the lock, so it may subscribe or arm */
+				/*
+				 * called without the lock, so that the callback
+				 * may use the timer functions
+				 */
 				s->next_ms = now + s->period_ms;
 				pthread_mutex_unlock(&t->lock);
 				s->fn(s->ctx, now);
@@ -54,7 +57,7 @@
 	return NULL;
 }
 
-/* lw_timer_start() - start the service's thread. */
+/* lw_timer_start() - starts the timer thread. */
 lw_timer_t *lw_timer_start(void)
 {
 	lw_timer_t *t = xcalloc(1, sizeof(*t));
@@ -66,9 +69,9 @@
 }
 
 /*
- * lw_timer_subscribe() - call @fn(@ctx, now) every @period_ms from now on.
- * Returns the subscription, for lw_timer_arm(). At most 16 subscribers;
- * more is a bug and aborts.
+ * lw_timer_subscribe() - calls @fn(@ctx, now) every @period_ms milliseconds from
+ * now on. Returns the subscription, for lw_timer_arm(). Aborts if there are more
+ * than 16 subscribers, which is a bug.
  */
 int lw_timer_subscribe(lw_timer_t *t, uint32_t period_ms, lw_timer_fn fn, void *ctx)
 {
@@ -84,7 +87,10 @@
 	return sub;
 }
 
-/* lw_timer_arm() - also call subscription @sub at @at_ms, if that is sooner. */
+/*
+ * lw_timer_arm() - also calls subscription @sub at @at_ms, if that is sooner than
+ * its next call.
+ */
 void lw_timer_arm(lw_timer_t *t, int sub, uint64_t at_ms)
 {
 	pthread_mutex_lock(&t->lock);
@@ -95,7 +101,7 @@
 	pthread_mutex_unlock(&t->lock);
 }
 
-/* lw_timer_stop() - stop the thread and free @t; no callback runs after. */
+/* lw_timer_stop() - stops the thread and frees @t; no callback runs afterwards. */
 void lw_timer_stop(lw_timer_t *t)
 {
 	pthread_mutex_lock(&t->lock);
--- a/src/timer.h
+++ b/src/timer.h
@@ -1,7 +1,7 @@
 /*
- * The timer service: one thread that calls each subscriber at its period.
- * Parts subscribe instead of keeping their own sleeping threads, so every
- * periodic job of a process is listed in one place.
+ * The timer service: one thread that calls each subscriber periodically. Modules
+ * subscribe instead of running their own sleeping threads, so that all periodic
+ * jobs of a process are in one place.
  */
 #ifndef LW_TIMER_H
 #define LW_TIMER_H
--- a/src/tomlkeys.c
+++ b/src/tomlkeys.c
@@ -1,6 +1,6 @@
 /*
- * Reading settings by a table of keys. Unknown keys are errors: a typo in a
- * key would otherwise leave a default in force that nobody chose.
+ * Reads settings by a table of keys. Unknown keys are errors: a typo in a key
+ * would otherwise leave a default value in force unnoticed.
  */
 #include "tomlkeys.h"
 
@@ -14,7 +14,7 @@
 #include "tomlshim.h"
 #include "xalloc.h"
 
-/* a settings file is a screen or two of text; more is not one */
+/* largest settings file, in bytes; a real one is a screen or two of text */
 #define SETTINGS_FILE_MAX (1024 * 1024)
 
 struct walk {
@@ -118,8 +118,9 @@
 }
 
 /*
- * lw_tomlkeys_parse() - apply the TOML @text (named @name in messages) to the
- * struct @into. LW_ERR_SETTINGS names file, line, key and remedy.
+ * lw_tomlkeys_parse() - applies the TOML @text (named @name in messages) to the
+ * struct @into. LW_ERR_SETTINGS with a message that names file, line, key and
+ * remedy.
  */
 lw_status_t lw_tomlkeys_parse(const char *name, const char *text, size_t len,
 			      const lw_key_spec_t *keys, size_t nkeys, void *into)
@@ -136,7 +137,10 @@
 	return w.st;
 }
 
-/* lw_tomlkeys_load() - read the file at @path and apply it to @into. */
+/*
+ * lw_tomlkeys_load() - reads the file at @path and applies it to @into, like
+ * lw_tomlkeys_parse().
+ */
 lw_status_t lw_tomlkeys_load(const char *path, const lw_key_spec_t *keys, size_t nkeys, void *into)
 {
 	FILE *f = fopen(path, "rb");
@@ -145,9 +149,8 @@
 	lw_status_t st;
 
 	if (!f)
-		return lw_error(LW_ERR_SETTINGS,
-				"%s: cannot open: %s; give the right path with --config", path,
-				strerror(errno));
+		return lw_error(LW_ERR_SETTINGS, "%s: cannot open: %s; set the path with --config",
+				path, strerror(errno));
 	buf = xmalloc(SETTINGS_FILE_MAX);
 	n = fread(buf, 1, SETTINGS_FILE_MAX, f);
 	fclose(f);
--- a/src/tomlkeys.h
+++ b/src/tomlkeys.h
@@ -17,7 +17,7 @@
 	const char *table;
 	const char *key;
 	lw_key_kind_t kind;
-	size_t off; /* of the field in the struct that is filled */
+	size_t off; /* offset of the field in the struct to fill */
 } lw_key_spec_t;
 
 lw_status_t lw_tomlkeys_parse(const char *name, const char *text, size_t len,
--- a/src/tomlshim.cc
+++ b/src/tomlshim.cc
@@ -1,4 +1,4 @@
-// The one C++ file: a C-callable view of toml++ (docs/DESIGN.md says why).
+// C interface to toml++, the only C++ file (docs/DESIGN.md explains why).
 #include "tomlshim.h"
 
 #include <cstdio>
@@ -7,17 +7,17 @@
 #include <stdexcept>
 #include <string_view>
 
-// The library asserts on some malformed input (a table's name that starts
-// with a control character or a symbol). An assert would end every node that
-// reads one bad document; thrown, it is an ordinary parse error.
+// The library asserts on some malformed input (a table name that starts with a
+// control character or a symbol). A failed assert would abort every node that
+// reads such a document; as an exception it is an ordinary parse error.
 #define TOML_ASSERT(expr)                                    \
 	do {                                                 \
 		if (!(expr))                                 \
 			throw std::runtime_error("TOML: " #expr); \
 	} while (0)
 
-// Its test for white space calls code unreachable that any letter from U+00A1
-// to U+0499 reaches, in a comment for example; "no" is the right answer there.
+// The library's whitespace test marks code as unreachable that any letter from
+// U+00A1 to U+0499 reaches, e.g. in a comment; the correct result there is false.
 #include <toml++/impl/preprocessor.h>
 #undef TOML_UNREACHABLE
 #define TOML_UNREACHABLE return {}
@@ -25,7 +25,7 @@
 #undef TOML_UNREACHABLE
 #define TOML_UNREACHABLE __builtin_unreachable()
 
-// an assert in a noexcept function still ends the process
+// a failed assert in a noexcept function still ends the process
 #pragma GCC diagnostic push
 #ifndef __clang__
 #pragma GCC diagnostic ignored "-Wterminate"
@@ -47,12 +47,12 @@
 	return reinterpret_cast<const lw_toml_node_t *>(n);
 }
 
-// lw_toml_parse() - parse @len bytes of @text; NULL on error with "line N: why"
-// written to @err.
+// lw_toml_parse() - parses @len bytes of @text; NULL on error, with the line,
+// column and reason written to @err.
 extern "C" lw_toml_doc_t *lw_toml_parse(const char *text, size_t len, char *err, size_t errlen)
 {
 	try {
-		// owned here until it is whole: parse() throws on bad input
+		// unique_ptr frees the document if parse() throws on invalid input
 		auto doc = std::make_unique<lw_toml_doc>();
 		doc->root = toml::parse(std::string_view(text, len));
 		return doc.release();
@@ -61,12 +61,12 @@
 			 (unsigned)e.source().begin.line, (unsigned)e.source().begin.column,
 			 (int)e.description().size(), e.description().data());
 	} catch (...) {
-		snprintf(err, errlen, "unreadable; look for a table or key name with stray characters");
+		snprintf(err, errlen, "cannot be parsed; look for a table or key name with stray characters");
 	}
 	return nullptr;
 }
 
-// lw_toml_free() - release a document from lw_toml_parse().
+// lw_toml_free() - releases a document from lw_toml_parse().
 extern "C" void lw_toml_free(lw_toml_doc_t *doc)
 {
 	delete doc;
@@ -86,7 +86,7 @@
 	return to_handle(to_node(table)->as_table()->get(key));
 }
 
-// lw_toml_type() - what kind of value @node is; LW_TOML_NONE for NULL.
+// lw_toml_type() - the type of @node; LW_TOML_NONE for NULL.
 extern "C" lw_toml_type_t lw_toml_type(const lw_toml_node_t *node)
 {
 	if (!node)
@@ -109,7 +109,7 @@
 	}
 }
 
-// lw_toml_line() - the source line where @node starts, 0 if unknown.
+// lw_toml_line() - the source line where @node starts; 0 if unknown.
 extern "C" int lw_toml_line(const lw_toml_node_t *node)
 {
 	return node ? (int)to_node(node)->source().begin.line : 0;
@@ -135,7 +135,7 @@
 	return to_handle(to_node(array)->as_array()->get(i));
 }
 
-// lw_toml_each() - call @fn for each key of @table in document order.
+// lw_toml_each() - calls @fn for each key of @table in document order.
 extern "C" void lw_toml_each(const lw_toml_node_t *table, lw_toml_each_fn fn, void *ctx)
 {
 	if (!table || !to_node(table)->is_table())
@@ -144,7 +144,8 @@
 		fn(k.str().data(), k.str().size(), to_handle(&v), ctx);
 }
 
-// lw_toml_str() - the bytes of a string value, not NUL-terminated.
+// lw_toml_str() - the bytes of a string, not NUL-terminated; false if @node is
+// no string.
 extern "C" bool lw_toml_str(const lw_toml_node_t *node, const char **ptr, size_t *len)
 {
 	if (!node || !to_node(node)->is_string())
@@ -155,7 +156,7 @@
 	return true;
 }
 
-// lw_toml_int() - an integer value.
+// lw_toml_int() - an integer; false if @node is no integer.
 extern "C" bool lw_toml_int(const lw_toml_node_t *node, int64_t *out)
 {
 	if (!node || !to_node(node)->is_integer())
@@ -164,7 +165,7 @@
 	return true;
 }
 
-// lw_toml_float() - a float value; integers are accepted too.
+// lw_toml_float() - a float or an integer; false if @node is neither.
 extern "C" bool lw_toml_float(const lw_toml_node_t *node, double *out)
 {
 	if (!node)
@@ -180,7 +181,7 @@
 	return false;
 }
 
-// lw_toml_bool() - a boolean value.
+// lw_toml_bool() - a boolean; false if @node is none.
 extern "C" bool lw_toml_bool(const lw_toml_node_t *node, bool *out)
 {
 	if (!node || !to_node(node)->is_boolean())
--- a/src/tomlshim.h
+++ b/src/tomlshim.h
@@ -1,7 +1,7 @@
 /*
- * C view of a parsed TOML document. The parsing is done by toml++ (a C++
- * header-only library) in tomlshim.cc, because Debian 12 packages no C TOML
- * library; see docs/DESIGN.md.
+ * C interface to a parsed TOML document. tomlshim.cc parses with toml++ (a
+ * header-only C++ library), because Debian 12 has no package of a C library for
+ * TOML; see docs/DESIGN.md.
  */
 #ifndef LW_TOMLSHIM_H
 #define LW_TOMLSHIM_H
--- a/src/xalloc.c
+++ b/src/xalloc.c
@@ -1,6 +1,6 @@
 /*
- * Allocation helpers. A node that cannot allocate cannot keep any promise,
- * so it says so loudly and stops rather than limping on with NULLs.
+ * Allocation helpers that never return NULL. A node without memory cannot keep
+ * its guarantees, so the process logs an error and aborts.
  */
 #include "xalloc.h"
 
@@ -18,7 +18,7 @@
 
 /*
  * xmalloc() - malloc() that never returns NULL.
- * @size: bytes wanted; 0 is treated as 1.
+ * @size: number of bytes; 0 is treated as 1.
  */
 void *xmalloc(size_t size)
 {
@@ -29,7 +29,7 @@
 	return p;
 }
 
-/* xcalloc() - zeroed array of @nmemb items of @size bytes; never NULL. */
+/* xcalloc() - calloc() that never returns NULL. */
 void *xcalloc(size_t nmemb, size_t size)
 {
 	void *p = calloc(nmemb ? nmemb : 1, size ? size : 1);
@@ -49,7 +49,7 @@
 	return p;
 }
 
-/* xstrndup() - copy @len bytes of @s into a new NUL-terminated string. */
+/* xstrndup() - copies @len bytes of @s into a new NUL-terminated string. */
 char *xstrndup(const char *s, size_t len)
 {
 	char *p = xmalloc(len + 1);
@@ -59,7 +59,7 @@
 	return p;
 }
 
-/* xstrdup() - copy the NUL-terminated string @s. */
+/* xstrdup() - copies the NUL-terminated string @s. */
 char *xstrdup(const char *s)
 {
 	return xstrndup(s, strlen(s));
