--- a/src/fleetconf.c
+++ b/src/fleetconf.c
@@ -187,8 +187,8 @@
  * lw_fleetconf_priority() - the priority of a request of @org on route @r: by the
  * priority of the organisation first, then by that of the route. Priorities are
  * numbered without gaps, as priorities that no request has would slow down the
- * rise of the admission threshold. If @org is NULL, the default priority of
- * organisations is used.
+ * adjustment of the admission level under overload. If @org is NULL, the default
+ * priority of organisations is used.
  */
 uint32_t lw_fleetconf_priority(const lw_fleetconf_t *fc, const lw_organisation_t *org,
 			       const lw_fleet_route_t *r)
--- a/src/proxy_int.h
+++ b/src/proxy_int.h
@@ -35,12 +35,12 @@
 	uint64_t urgent_read_us; /* time of the last urgent read of the store */
 	uint64_t peer_read_us; /* time of the last reported store read by another node */
 	char peer_read_from[LW_NAME_MAX]; /* the node that reported it */
-	uint64_t forwarded_us; /* store_read_us as last forwarded to other nodes */
+	uint64_t forwarded_us; /* store_read_us when it was last forwarded to other nodes */
 	uint64_t read_until_us; /* this node keeps reading the store at least until then */
 	bool reads_store; /* this node reads the store at present */
 	lw_feed_why_t reads_why;
 	ev_timer query_timer;
-	lw_spread_t spread; /* this node's part in the dissemination of store updates */
+	lw_spread_t spread; /* this node's place in the fan-out of store updates */
 	lw_revdoc_t documents[2]; /* the configuration and the list of backend servers */
 	char mesh_addr[LW_NAME_MAX]; /* mesh address of this node, as other nodes know it */
 	lw_lease_t lease; /* lease of the backend server on this host */
--- a/src/proxylease.c
+++ b/src/proxylease.c
@@ -123,7 +123,7 @@
 
 /*
  * lw_proxy_lease_entry_found() - the newest list has the entry of the backend
- * server on this host; its process started at @born_ms (Unix time).
+ * server on this host; its process started at @born_ms (Unix time in ms).
  */
 void lw_proxy_lease_entry_found(lw_proxy_t *p, uint64_t born_ms)
 {
--- a/src/proxynews.c
+++ b/src/proxynews.c
@@ -47,10 +47,7 @@
 	return age_us / 1000 < UINT32_MAX ? (uint32_t)(age_us / 1000) : UINT32_MAX;
 }
 
-/*
- * Forwards the time of the last store read to this node's children in the
- * dissemination tree.
- */
+/* Forwards the update to this node's children in the fan-out tree. */
 static void forward_update(lw_proxy_t *p)
 {
 	char node[LW_NAME_MAX];
@@ -63,8 +60,8 @@
 }
 
 /*
- * Keeps the list as a document; returns false if it has the same servers as the
- * list in use.
+ * Keeps the list as a document to send to other nodes; returns false if it has
+ * the same servers as the list in use.
  */
 static bool store_server_document(lw_proxy_t *p, const lw_serverlist_t *sl)
 {
@@ -392,7 +389,7 @@
 	lw_feed_hurry(&p->feed);
 }
 
-/* Tries to reach a lost node; its first status frame clears the mark. */
+/* Tries to reach a lost node; the node is usable again after its first status frame. */
 static void reconnect(void *ctx, const char *node)
 {
 	lw_proxy_t *p = ctx;
--- a/src/proxystats.c
+++ b/src/proxystats.c
@@ -105,29 +105,28 @@
 {
 	counter(f, "lw_requests_total",
 		"requests received from callers and from the local backend server", e->requests);
-	counter(f, "lw_nested_total", "of these, calls made on behalf of another request",
-		e->nested);
-	counter(f, "lw_answered_total", "answered by a backend server", e->answered);
-	counter(f, "lw_refused_total", "refused: certainly not executed", e->refused);
-	counter(f, "lw_failed_total", "failed: may have been executed", e->failed);
-	counter(f, "lw_timeouts_total", "not answered in time", e->timeouts);
-	counter(f, "lw_cancelled_total", "cancelled by the caller", e->cancelled);
+	counter(f, "lw_nested_total", "requests made on behalf of another request", e->nested);
+	counter(f, "lw_answered_total", "requests answered by a backend server", e->answered);
+	counter(f, "lw_refused_total", "requests refused: certainly not executed", e->refused);
+	counter(f, "lw_failed_total", "requests failed: may have been executed", e->failed);
+	counter(f, "lw_timeouts_total", "requests not answered in time", e->timeouts);
+	counter(f, "lw_cancelled_total", "requests cancelled by the caller", e->cancelled);
 	counter(f, "lw_cut_total", "answers that were truncated", e->cut);
-	counter(f, "lw_no_route_total", "no route matched", e->no_route);
+	counter(f, "lw_no_route_total", "requests that matched no route", e->no_route);
 	counter(f, "lw_no_config_total", "requests received before the first configuration",
 		e->no_config);
 	counter(f, "lw_retries_total", "retries on another backend server", e->retries);
 	counter(f, "lw_retries_denied_total", "retries denied by the retry limit",
 		e->retries_denied);
 	counter(f, "lw_handed_back_total",
-		"sent to another backend server after one returned the request unexecuted",
+		"requests returned unexecuted by a backend server and sent to another one",
 		e->handed_back);
 	counter(f, "lw_not_identified_total", "requests without a key or with an unknown key",
 		e->not_identified);
 	counter(f, "lw_over_limit_total",
-		"of the refused, those over the limit of their organisation", e->over_limit);
-	counter(f, "lw_held_total", "refused, as backend servers crashed while executing them",
-		e->held);
+		"requests refused because of the limit of their organisation", e->over_limit);
+	counter(f, "lw_held_total",
+		"requests refused because backend servers crashed while executing them", e->held);
 	fprintf(f, "# HELP lw_latency_seconds time until the last byte of the answer is queued\n"
 		   "# TYPE lw_latency_seconds histogram\n");
 	lw_histogram_print(f, "lw_latency_seconds", "kind=\"user\"", &e->latency_user);
@@ -161,11 +160,12 @@
 	gauge(f, "lw_server_limited", "1: the backend server announces a limit",
 	      s->load.notice.limited);
 	fprintf(f,
-		"# HELP lw_server_limit_per_s announced limit in requests per second; 0: also if none\n"
+		"# HELP lw_server_limit_per_s announced limit in requests per second; 0 also if none\n"
 		"# TYPE lw_server_limit_per_s gauge\nlw_server_limit_per_s %.3f\n",
 		s->load.notice.limited ? s->load.notice.limit_per_s : 0);
 	gauge(f, "lw_gate_service_us", "average execution time of a request", s->load.service_us);
-	gauge(f, "lw_gate_level", "admission threshold: first rank refused (8000: none)", s->level);
+	gauge(f, "lw_gate_level", "admission level: lowest rank that is refused (8000: none)",
+	      s->level);
 	fprintf(f, "# HELP lw_gate_wait_seconds wait in the queue of the backend server\n"
 		   "# TYPE lw_gate_wait_seconds histogram\n");
 	lw_histogram_print(f, "lw_gate_wait_seconds", "kind=\"all\"", &s->gate.wait);
@@ -227,7 +227,7 @@
 	counter(f, "lw_frames_out_total", "frames sent", s->mesh.frames_out);
 	counter(f, "lw_mesh_bytes_out_total", "bytes sent to other nodes", s->mesh.bytes_out);
 	counter(f, "lw_control_bytes_total",
-		"of these, bytes of frames other than requests and answers",
+		"bytes sent to other nodes in frames other than requests and answers",
 		lw_mesh_control_bytes(&s->mesh));
 	fprintf(f,
 		"# HELP lw_control_frame_bytes_total bytes queued for other nodes, by kind of frame\n"
@@ -260,7 +260,7 @@
 	gauge(f, "lw_loop_longest_turn_us", "longest iteration of the event loop since the start",
 	      s->longest_turn_us);
 	gauge(f, "lw_ready", "1: ready for requests of callers", s->ready);
-	gauge(f, "lw_leaving", "1: stopping", s->leaving);
+	gauge(f, "lw_leaving", "1: this node is stopping", s->leaving);
 	counter(f, "lw_log_dropped_total", "log lines dropped to bound the log volume",
 		s->log_dropped);
 }
