--- a/src/adminpage.c
+++ b/src/adminpage.c
@@ -33,7 +33,7 @@
 	return n;
 }
 
-static void take_text(lw_http_resp_t *resp, char *buf, size_t len)
+static void set_body(lw_http_resp_t *resp, char *buf, size_t len)
 {
 	resp->status = 200;
 	resp->body = buf;
@@ -59,7 +59,7 @@
 	print_peers(f, in->peers, lw_now_ms());
 	pthread_mutex_unlock(&n->lock);
 	fclose(f);
-	take_text(resp, buf, len);
+	set_body(resp, buf, len);
 }
 
 static void print_stats(FILE *f, const lw_node_t *n)
@@ -101,7 +101,7 @@
 	print_stats(f, n);
 	pthread_mutex_unlock(&n->lock);
 	fclose(f);
-	take_text(resp, buf, len);
+	set_body(resp, buf, len);
 }
 
 static void config(lw_node_t *n, lw_http_resp_t *resp)
--- a/src/bytebuf.c
+++ b/src/bytebuf.c
@@ -88,18 +88,18 @@
 /* lw_bytebuf_printf() - append formatted text. */
 void lw_bytebuf_printf(lw_bytebuf_t *b, const char *fmt, ...)
 {
-	va_list ap, again;
+	va_list ap, ap_print;
 	int need;
 
 	va_start(ap, fmt);
-	va_copy(again, ap);
+	va_copy(ap_print, ap);
 	need = vsnprintf(NULL, 0, fmt, ap);
 	va_end(ap);
 	if (need > 0) {
-		vsnprintf(lw_bytebuf_reserve(b, (size_t)need + 1), (size_t)need + 1, fmt, again);
+		vsnprintf(lw_bytebuf_reserve(b, (size_t)need + 1), (size_t)need + 1, fmt, ap_print);
 		lw_bytebuf_commit(b, (size_t)need);
 	}
-	va_end(again);
+	va_end(ap_print);
 }
 
 /* lw_bytebuf_cut() - drop @len bytes from the end. */
--- a/src/lwburn.c
+++ b/src/lwburn.c
@@ -121,7 +121,7 @@
 	return ok;
 }
 
-static double burn(const double *a, const double *b, double slo)
+static double burn_rate(const double *a, const double *b, double slo)
 {
 	double done = b[0] - a[0], bad = (b[1] - a[1]) + (b[2] - a[2]);
 	double total = done + bad;
@@ -137,7 +137,7 @@
 	double maxb = 1;
 
 	for (int i = 0; i < nrows; i++) {
-		double b = burn(rows[i].first, rows[i].last, slo);
+		double b = burn_rate(rows[i].first, rows[i].last, slo);
 
 		if (b > maxb)
 			maxb = b;
@@ -149,7 +149,7 @@
 	cairo_move_to(cr, 10, 20);
 	cairo_show_text(cr, "error-budget burn rate, long window (1.0 = budget spent exactly)");
 	for (int i = 0; i < nrows; i++) {
-		double b = burn(rows[i].first, rows[i].last, slo);
+		double b = burn_rate(rows[i].first, rows[i].last, slo);
 		double bh = (h - 110) * b / maxb, x = 60 + 90.0 * i;
 
 		cairo_set_source_rgb(cr, b > 1 ? 0.8 : 0.3, b > 1 ? 0.2 : 0.5, 0.3);
@@ -235,11 +235,12 @@
 			continue;
 
 		printf("%-20s %-10s %10.0f %10.0f %10.2f %10.2f\n", r->service, r->cls, req, bad,
-		       burn(r->prev, r->last, objective), burn(r->first, r->last, objective));
+		       burn_rate(r->prev, r->last, objective),
+		       burn_rate(r->first, r->last, objective));
 		if (c)
 			fprintf(c, "%s,%s,%.0f,%.0f,%.4f,%.4f\n", r->service, r->cls, req, bad,
-				burn(r->prev, r->last, objective),
-				burn(r->first, r->last, objective));
+				burn_rate(r->prev, r->last, objective),
+				burn_rate(r->first, r->last, objective));
 	}
 	if (c)
 		fclose(c);
--- a/src/lwctl.c
+++ b/src/lwctl.c
@@ -27,7 +27,7 @@
 #include "xalloc.h"
 
 /* most words after the command: the logs of a large fleet */
-#define WORDS_MAX 4096
+#define ARGS_MAX 4096
 
 static int read_file(const char *path, char **buf, size_t *len)
 {
@@ -44,7 +44,7 @@
 }
 
 typedef struct args {
-	const char *const *word; /* after the command */
+	const char *const *operands; /* after the command */
 	int n;
 	bool json;
 } args_t;
@@ -67,7 +67,7 @@
 
 static int cmd_check(const args_t *a)
 {
-	const char *path = a->word[0];
+	const char *path = a->operands[0];
 	char *buf;
 	size_t len;
 	lw_platconf_t *pc;
@@ -93,7 +93,7 @@
 }
 
 /* settings of lwproxy have a [host] table, those of lwnode do not */
-static bool for_proxy(const char *path)
+static bool is_proxy_settings(const char *path)
 {
 	char *buf = NULL;
 	size_t len;
@@ -123,10 +123,10 @@
 
 static int cmd_check_settings(const args_t *a)
 {
-	const char *path = a->word[0];
+	const char *path = a->operands[0];
 	lw_settings_t s;
 
-	if (for_proxy(path))
+	if (is_proxy_settings(path))
 		return check_proxy_settings(path);
 	lw_settings_defaults(&s);
 	if (lw_settings_load(path, &s)) {
@@ -144,17 +144,17 @@
 
 static int cmd_status(const args_t *a)
 {
-	return call_admin(a->word[0], "GET", "/status");
+	return call_admin(a->operands[0], "GET", "/status");
 }
 
 static int cmd_metrics(const args_t *a)
 {
-	return call_admin(a->word[0], "GET", "/metrics");
+	return call_admin(a->operands[0], "GET", "/metrics");
 }
 
 static int cmd_drain(const args_t *a)
 {
-	return call_admin(a->word[0], "POST", "/drain");
+	return call_admin(a->operands[0], "POST", "/drain");
 }
 
 static int read_log(lw_explain_t *e, const char *path)
@@ -182,14 +182,14 @@
 	lw_explain_t e;
 	int rc = 0;
 
-	lw_explain_init(&e, a->word[0]);
+	lw_explain_init(&e, a->operands[0]);
 	for (int i = 1; i < a->n && !rc; i++)
-		rc = read_log(&e, a->word[i]);
+		rc = read_log(&e, a->operands[i]);
 	if (!rc && !e.nlines) {
 		fprintf(stderr,
 			"lwctl: no line of request %s; served requests leave none, and "
 			"%llu lines were left out for volume\n",
-			a->word[0], (unsigned long long)e.dropped);
+			a->operands[0], (unsigned long long)e.dropped);
 		rc = 1;
 	}
 	if (!rc) {
@@ -213,7 +213,7 @@
 static const struct {
 	const char *name;
 	int (*run)(const args_t *a);
-	int words; /* at least */
+	int min_operands; /* at least */
 	const char *usage;
 } commands[] = {
 	{ "check", cmd_check, 1, "check FILE" },
@@ -230,7 +230,7 @@
 	for (size_t i = 0; i < sizeof(commands) / sizeof(commands[0]); i++) {
 		if (strcmp(commands[i].name, name) != 0)
 			continue;
-		if (a->n >= commands[i].words)
+		if (a->n >= commands[i].min_operands)
 			return commands[i].run(a);
 		fprintf(stderr, "lwctl: usage: lwctl %s\n", commands[i].usage);
 		return 2;
@@ -245,7 +245,7 @@
 	struct arg_str *cmd =
 		arg_str0(NULL, NULL, "COMMAND",
 			 "check, check-settings, status, metrics, drain, explain, events");
-	struct arg_str *what = arg_strn(NULL, NULL, "ARG", 0, WORDS_MAX,
+	struct arg_str *what = arg_strn(NULL, NULL, "ARG", 0, ARGS_MAX,
 					"FILE, node admin ip:port, or request id and logs");
 	struct arg_lit *json = arg_lit0(NULL, "json", "explain: print JSON");
 	void *table[] = { cli.help, cli.version, json, cmd, what, cli.end };
--- a/src/lwload.c
+++ b/src/lwload.c
@@ -24,16 +24,17 @@
 #include "policy.h"
 #include "xalloc.h"
 
-lw_load_run_t ld = { .lock = PTHREAD_MUTEX_INITIALIZER, .more = PTHREAD_COND_INITIALIZER };
+lw_load_run_t load_run = { .lock = PTHREAD_MUTEX_INITIALIZER,
+			   .queue_changed = PTHREAD_COND_INITIALIZER };
 
 static int parse_mix(const char *spec)
 {
 	/* service/name:weight[!][~] ; ! = keyed (not idempotent), ~ = sheddable */
 	char *s = xstrdup(spec), *tok, *save;
 
-	for (tok = strtok_r(s, ",", &save); tok && ld.nroutes < ROUTES_MAX;
+	for (tok = strtok_r(s, ",", &save); tok && load_run.nroutes < ROUTES_MAX;
 	     tok = strtok_r(NULL, ",", &save)) {
-		route_t *r = &ld.routes[ld.nroutes];
+		route_t *r = &load_run.routes[load_run.nroutes];
 		char *slash = strchr(tok, '/'), *colon = strchr(tok, ':');
 
 		if (!slash || !colon || colon < slash) {
@@ -47,7 +48,7 @@
 		r->weight = strtod(colon + 1, NULL);
 		r->keyed = strchr(colon, '!') != NULL;
 		r->sheddable = strchr(colon, '~') != NULL;
-		ld.nroutes++;
+		load_run.nroutes++;
 	}
 	free(s);
 	return 0;
@@ -57,36 +58,37 @@
 {
 	const char *eq = strchr(spec, '=');
 
-	if (!eq || ld.ntargets == TARGETS_MAX) {
+	if (!eq || load_run.ntargets == TARGETS_MAX) {
 		fprintf(stderr, "lwload: --node wants SERVICE=IP:PORT, got '%s'\n", spec);
 		return -1;
 	}
-	snprintf(ld.targets[ld.ntargets].service, LW_NAME_MAX, "%.*s", (int)(eq - spec), spec);
-	snprintf(ld.targets[ld.ntargets].addr, LW_NAME_MAX, "%s", eq + 1);
-	ld.ntargets++;
+	snprintf(load_run.targets[load_run.ntargets].service, LW_NAME_MAX, "%.*s", (int)(eq - spec),
+		 spec);
+	snprintf(load_run.targets[load_run.ntargets].addr, LW_NAME_MAX, "%s", eq + 1);
+	load_run.ntargets++;
 	return 0;
 }
 
 static double rate_at(double t, const route_t *r, double total_weight)
 {
-	double rate = ld.rate * r->weight / total_weight;
+	double rate = load_run.rate * r->weight / total_weight;
 
-	if (r->sheddable && t >= ld.surge_from && t < ld.surge_to)
-		rate *= ld.surge_mult;
+	if (r->sheddable && t >= load_run.surge_from && t < load_run.surge_to)
+		rate *= load_run.surge_mult;
 	return rate;
 }
 
 static void push(job_t j)
 {
-	pthread_mutex_lock(&ld.lock);
-	if (ld.qlen == ld.qcap) {
-		ld.dropped++; /* the client side is saturated: counted, not hidden */
+	pthread_mutex_lock(&load_run.lock);
+	if (load_run.qlen == load_run.qcap) {
+		load_run.dropped++; /* the client side is saturated: counted, not hidden */
 	} else {
-		ld.queue[(ld.qhead + ld.qlen) % ld.qcap] = j;
-		ld.qlen++;
-		pthread_cond_signal(&ld.more);
+		load_run.queue[(load_run.qhead + load_run.qlen) % load_run.qcap] = j;
+		load_run.qlen++;
+		pthread_cond_signal(&load_run.queue_changed);
 	}
-	pthread_mutex_unlock(&ld.lock);
+	pthread_mutex_unlock(&load_run.lock);
 }
 
 static void *generator(void *arg)
@@ -96,32 +98,32 @@
 	uint64_t id = 0;
 
 	(void)arg;
-	for (int i = 0; i < ld.nroutes; i++)
-		total += ld.routes[i].weight;
-	while (t < ld.seconds) {
+	for (int i = 0; i < load_run.nroutes; i++)
+		total += load_run.routes[i].weight;
+	while (t < load_run.seconds) {
 		double sum = 0, pick;
 		int r;
 
-		for (int i = 0; i < ld.nroutes; i++)
-			sum += rate_at(t, &ld.routes[i], total);
+		for (int i = 0; i < load_run.nroutes; i++)
+			sum += rate_at(t, &load_run.routes[i], total);
 		t += -log(1.0 - erand48(rng)) / sum;
 		pick = erand48(rng) * sum;
-		for (r = 0; r < ld.nroutes - 1; r++) {
-			pick -= rate_at(t, &ld.routes[r], total);
+		for (r = 0; r < load_run.nroutes - 1; r++) {
+			pick -= rate_at(t, &load_run.routes[r], total);
 			if (pick < 0)
 				break;
 		}
-		uint64_t due = ld.t0 + (uint64_t)(t * 1000);
+		uint64_t due = load_run.t0 + (uint64_t)(t * 1000);
 		uint64_t now = lw_now_ms();
 
 		if (due > now)
 			usleep((useconds_t)(due - now) * 1000);
 		push((job_t){ ++id, r, due });
 	}
-	pthread_mutex_lock(&ld.lock);
-	ld.done_generating = true;
-	pthread_cond_broadcast(&ld.more);
-	pthread_mutex_unlock(&ld.lock);
+	pthread_mutex_lock(&load_run.lock);
+	load_run.done_generating = true;
+	pthread_cond_broadcast(&load_run.queue_changed);
+	pthread_mutex_unlock(&load_run.lock);
 	return NULL;
 }
 
@@ -129,50 +131,52 @@
 {
 	int match[TARGETS_MAX], n = 0;
 
-	for (int i = 0; i < ld.ntargets; i++)
-		if (strcmp(ld.targets[i].service, service) == 0)
+	for (int i = 0; i < load_run.ntargets; i++)
+		if (strcmp(load_run.targets[i].service, service) == 0)
 			match[n++] = i;
 	if (n == 0)
 		return NULL;
 	int t = match[id % (uint64_t)n];
 
 	if (!cache[t])
-		cache[t] = lw_httpc_new(ld.targets[t].addr);
+		cache[t] = lw_httpc_new(load_run.targets[t].addr);
 	return cache[t];
 }
 
 /* the final answer of a request */
-typedef struct verdict {
+typedef struct request_result {
 	int outcome;
 	int status;
 	int attempts;
 	char reason[24];
-} verdict_t;
+} request_result_t;
 
-static void record(const job_t *j, const verdict_t *v)
+static void record(const job_t *j, const request_result_t *v)
 {
-	route_t *r = &ld.routes[j->route];
+	route_t *r = &load_run.routes[j->route];
 	uint64_t end_us = lw_now_us();
 	uint64_t lat = end_us - j->due_ms * 1000;
-	bool good = v->outcome == LW_DONE && v->status < 500 && lat / 1000 <= ld.deadline_ms;
+	bool good = v->outcome == LW_DONE && v->status < 500 && lat / 1000 <= load_run.deadline_ms;
 
-	pthread_mutex_lock(&ld.lock);
+	pthread_mutex_lock(&load_run.lock);
 	r->n[v->outcome]++;
 	r->good += good;
-	if (ld.nsamples == ld.capsamples) {
-		ld.capsamples = ld.capsamples ? ld.capsamples * 2 : 4096;
-		ld.samples = xrealloc(ld.samples, ld.capsamples * sizeof(*ld.samples));
+	if (load_run.nsamples == load_run.capsamples) {
+		load_run.capsamples = load_run.capsamples ? load_run.capsamples * 2 : 4096;
+		load_run.samples =
+			xrealloc(load_run.samples, load_run.capsamples * sizeof(*load_run.samples));
 	}
-	ld.samples[ld.nsamples++] = (sample_t){ .second = (uint16_t)((j->due_ms - ld.t0) / 1000),
-						.good = good,
-						.lat_us = (uint32_t)lat };
-	ld.attempts += (uint64_t)v->attempts;
-	if (ld.history)
-		fprintf(ld.history, "complete u%s-%llu %s %d %llu %d %s\n", ld.run,
+	load_run.samples[load_run.nsamples++] =
+		(sample_t){ .second = (uint16_t)((j->due_ms - load_run.t0) / 1000),
+			    .good = good,
+			    .lat_us = (uint32_t)lat };
+	load_run.attempts += (uint64_t)v->attempts;
+	if (load_run.history)
+		fprintf(load_run.history, "complete u%s-%llu %s %d %llu %d %s\n", load_run.run,
 			(unsigned long long)j->id, lw_outcome_name((lw_outcome_t)v->outcome),
-			v->status, (unsigned long long)(end_us / 1000 - ld.t0), v->attempts,
+			v->status, (unsigned long long)(end_us / 1000 - load_run.t0), v->attempts,
 			v->reason[0] ? v->reason : "-");
-	pthread_mutex_unlock(&ld.lock);
+	pthread_mutex_unlock(&load_run.lock);
 }
 
 static int outcome_of(const lw_http_reply_t *r)
@@ -190,9 +194,9 @@
 
 static void job_path(const route_t *r, char *path, size_t len)
 {
-	if (ld.path_mode == PATH_DIRECT)
+	if (load_run.path_mode == PATH_DIRECT)
 		snprintf(path, len, "/%s", r->name);
-	else if (ld.path_mode == PATH_OUT)
+	else if (load_run.path_mode == PATH_OUT)
 		snprintf(path, len, "/v1/out/%s/%s", r->service, r->name);
 	else
 		snprintf(path, len, "/v1/call/%s", r->name);
@@ -203,34 +207,37 @@
 	/* the stand-in echoes the request id */
 	if (rep->body && strstr(rep->body, user_id))
 		return;
-	pthread_mutex_lock(&ld.lock);
-	ld.crossed++;
-	pthread_mutex_unlock(&ld.lock);
+	pthread_mutex_lock(&load_run.lock);
+	load_run.crossed_answers++;
+	pthread_mutex_unlock(&load_run.lock);
 }
 
 static void run_job(lw_httpc_t **cache, const job_t *j)
 {
-	route_t *r = &ld.routes[j->route];
+	route_t *r = &load_run.routes[j->route];
 	lw_http_hdr_t h[4] = { { "X-LW-Deadline-Ms", "" },
 			       { "X-LW-Request-Id", "" },
 			       { "X-LW-Repeat", "0" },
 			       { "X-LW-Idempotency-Key", "" } };
 	char path[LW_NAME_MAX * 2 + 16];
-	uint64_t deadline_at = j->due_ms + ld.deadline_ms;
-	verdict_t v = { .outcome = LW_NOT_RUN };
+	uint64_t deadline_at = j->due_ms + load_run.deadline_ms;
+	request_result_t v = { .outcome = LW_NOT_RUN };
 
 	/* keys must not repeat across runs, or a node replays an earlier run's answer */
-	snprintf(h[1].value, sizeof(h[1].value), "u%s-%llu", ld.run, (unsigned long long)j->id);
-	snprintf(h[3].value, sizeof(h[3].value), "k%s-%llu", ld.run, (unsigned long long)j->id);
+	snprintf(h[1].value, sizeof(h[1].value), "u%s-%llu", load_run.run,
+		 (unsigned long long)j->id);
+	snprintf(h[3].value, sizeof(h[3].value), "k%s-%llu", load_run.run,
+		 (unsigned long long)j->id);
 	job_path(r, path, sizeof(path));
-	if (ld.history) {
-		pthread_mutex_lock(&ld.lock);
-		fprintf(ld.history, "invoke %s %s/%s %s %llu\n", h[1].value, r->service, r->name,
-			r->keyed ? h[3].value : "-", (unsigned long long)(j->due_ms - ld.t0));
-		pthread_mutex_unlock(&ld.lock);
+	if (load_run.history) {
+		pthread_mutex_lock(&load_run.lock);
+		fprintf(load_run.history, "invoke %s %s/%s %s %llu\n", h[1].value, r->service,
+			r->name, r->keyed ? h[3].value : "-",
+			(unsigned long long)(j->due_ms - load_run.t0));
+		pthread_mutex_unlock(&load_run.lock);
 	}
 	/* a hard-retrying client: it ignores Retry-After, as the brief's clients do */
-	while (v.attempts <= ld.client_retries) {
+	while (v.attempts <= load_run.client_retries) {
 		lw_httpc_t *c = client_for(cache, r->service, j->id + (uint64_t)v.attempts);
 		uint64_t now = lw_now_ms();
 		lw_http_reply_t rep;
@@ -268,17 +275,17 @@
 	for (;;) {
 		job_t j;
 
-		pthread_mutex_lock(&ld.lock);
-		while (ld.qlen == 0 && !ld.done_generating)
-			pthread_cond_wait(&ld.more, &ld.lock);
-		if (ld.qlen == 0) {
-			pthread_mutex_unlock(&ld.lock);
+		pthread_mutex_lock(&load_run.lock);
+		while (load_run.qlen == 0 && !load_run.done_generating)
+			pthread_cond_wait(&load_run.queue_changed, &load_run.lock);
+		if (load_run.qlen == 0) {
+			pthread_mutex_unlock(&load_run.lock);
 			break;
 		}
-		j = ld.queue[ld.qhead];
-		ld.qhead = (ld.qhead + 1) % ld.qcap;
-		ld.qlen--;
-		pthread_mutex_unlock(&ld.lock);
+		j = load_run.queue[load_run.qhead];
+		load_run.qhead = (load_run.qhead + 1) % load_run.qcap;
+		load_run.qlen--;
+		pthread_mutex_unlock(&load_run.lock);
 		run_job(cache, &j);
 	}
 	for (int i = 0; i < TARGETS_MAX; i++)
@@ -319,37 +326,37 @@
 		if (parse_target(nodes->sval[i]))
 			return 2;
 	if (via->count)
-		ld.path_mode = !strcmp(via->sval[0], "out")    ? PATH_OUT :
-			       !strcmp(via->sval[0], "direct") ? PATH_DIRECT :
-								 PATH_CALL;
-	ld.rate = rate->count ? rate->dval[0] : 50;
-	ld.seconds = secs->count ? secs->dval[0] : 5;
-	ld.workers = workers->count ? workers->ival[0] : 32;
-	ld.deadline_ms = dl->count ? (unsigned)dl->ival[0] : 1000;
-	ld.client_retries = retries->count ? retries->ival[0] : 0;
-	if (surge->count && sscanf(surge->sval[0], "%lf:%lf:%lf", &ld.surge_from, &ld.surge_to,
-				   &ld.surge_mult) != 3) {
+		load_run.path_mode = !strcmp(via->sval[0], "out")    ? PATH_OUT :
+				     !strcmp(via->sval[0], "direct") ? PATH_DIRECT :
+								       PATH_CALL;
+	load_run.rate = rate->count ? rate->dval[0] : 50;
+	load_run.seconds = secs->count ? secs->dval[0] : 5;
+	load_run.workers = workers->count ? workers->ival[0] : 32;
+	load_run.deadline_ms = dl->count ? (unsigned)dl->ival[0] : 1000;
+	load_run.client_retries = retries->count ? retries->ival[0] : 0;
+	if (surge->count && sscanf(surge->sval[0], "%lf:%lf:%lf", &load_run.surge_from,
+				   &load_run.surge_to, &load_run.surge_mult) != 3) {
 		fprintf(stderr, "lwload: --surge wants FROM:TO:MULT in seconds, e.g. 2:4:3\n");
 		return 2;
 	}
-	if (hist->count && !(ld.history = fopen(hist->filename[0], "w"))) {
+	if (hist->count && !(load_run.history = fopen(hist->filename[0], "w"))) {
 		fprintf(stderr, "lwload: cannot write %s\n", hist->filename[0]);
 		return 2;
 	}
-	ld.qcap = 4096;
-	ld.queue = xcalloc(ld.qcap, sizeof(*ld.queue));
-	ld.t0 = lw_now_ms();
-	snprintf(ld.run, sizeof(ld.run), "%x%llx", (unsigned)getpid(),
+	load_run.qcap = 4096;
+	load_run.queue = xcalloc(load_run.qcap, sizeof(*load_run.queue));
+	load_run.t0 = lw_now_ms();
+	snprintf(load_run.run, sizeof(load_run.run), "%x%llx", (unsigned)getpid(),
 		 (unsigned long long)(lw_now_us() & 0xffffff));
-	ws = xcalloc((size_t)ld.workers, sizeof(*ws));
-	for (int i = 0; i < ld.workers; i++)
+	ws = xcalloc((size_t)load_run.workers, sizeof(*ws));
+	for (int i = 0; i < load_run.workers; i++)
 		pthread_create(&ws[i], NULL, worker, NULL);
 	pthread_create(&gen, NULL, generator, NULL);
 	pthread_join(gen, NULL);
-	for (int i = 0; i < ld.workers; i++)
+	for (int i = 0; i < load_run.workers; i++)
 		pthread_join(ws[i], NULL);
-	if (ld.history)
-		fclose(ld.history);
+	if (load_run.history)
+		fclose(load_run.history);
 	lw_load_report();
 	return 0;
 }
--- a/src/lwload_int.h
+++ b/src/lwload_int.h
@@ -60,7 +60,7 @@
 	double surge_from, surge_to, surge_mult;
 	FILE *history;
 	pthread_mutex_t lock;
-	pthread_cond_t more;
+	pthread_cond_t queue_changed;
 	job_t *queue;
 	size_t qhead, qlen, qcap;
 	bool done_generating;
@@ -69,12 +69,12 @@
 	size_t nsamples, capsamples;
 	uint64_t dropped;
 	uint64_t attempts;
-	uint64_t crossed; /* answers that were not this caller's */
+	uint64_t crossed_answers; /* answers that were not this caller's */
 	char run[32]; /* this run's nonce, part of every id and key */
 	path_mode_t path_mode;
 } lw_load_run_t;
 
-extern lw_load_run_t ld;
+extern lw_load_run_t load_run;
 
 void lw_load_report(void);
 
--- a/src/lwloadreport.c
+++ b/src/lwloadreport.c
@@ -20,26 +20,26 @@
 }
 
 /* what a stretch of seconds looked like */
-typedef struct stretch {
+typedef struct window_stats {
 	double success; /* share of good answers */
 	double p99_ms;
-} stretch_t;
+} window_stats_t;
 
 /* of the seconds @from up to @to; samples are sorted by second */
-static stretch_t stretch_of(size_t from, size_t to)
+static window_stats_t window_stats_of(size_t from, size_t to)
 {
 	size_t first = 0, n = 0, good = 0, p99;
 	sample_t *part;
-	stretch_t s = { 1, 0 };
+	window_stats_t s = { 1, 0 };
 
-	while (first < ld.nsamples && ld.samples[first].second < from)
+	while (first < load_run.nsamples && load_run.samples[first].second < from)
 		first++;
-	while (first + n < ld.nsamples && ld.samples[first + n].second < to)
-		good += ld.samples[first + n++].good;
+	while (first + n < load_run.nsamples && load_run.samples[first + n].second < to)
+		good += load_run.samples[first + n++].good;
 	if (n == 0)
 		return s;
 	part = xcalloc(n, sizeof(*part));
-	memcpy(part, &ld.samples[first], n * sizeof(*part));
+	memcpy(part, &load_run.samples[first], n * sizeof(*part));
 	qsort(part, n, sizeof(*part), cmp_latency);
 	s.success = (double)good / (double)n;
 	p99 = n * 99 / 100;
@@ -55,11 +55,11 @@
  */
 static int recovery_s(void)
 {
-	size_t to = (size_t)ld.surge_to;
-	stretch_t before = stretch_of(0, (size_t)ld.surge_from);
+	size_t to = (size_t)load_run.surge_to;
+	window_stats_t before = window_stats_of(0, (size_t)load_run.surge_from);
 
-	for (size_t s = to; s < (size_t)ld.seconds; s++) {
-		stretch_t now = stretch_of(s, s + 1);
+	for (size_t s = to; s < (size_t)load_run.seconds; s++) {
+		window_stats_t now = window_stats_of(s, s + 1);
 
 		if (now.success >= before.success * 0.9 &&
 		    (now.p99_ms <= before.p99_ms * 1.1 || now.p99_ms <= before.p99_ms + 10))
@@ -73,8 +73,8 @@
 {
 	uint64_t tot[3] = { 0 }, good = 0;
 
-	for (int i = 0; i < ld.nroutes; i++) {
-		route_t *r = &ld.routes[i];
+	for (int i = 0; i < load_run.nroutes; i++) {
+		route_t *r = &load_run.routes[i];
 
 		printf("%-28s %llu done, %llu not_run, %llu unknown\n", r->name,
 		       (unsigned long long)r->n[0], (unsigned long long)r->n[1],
@@ -89,20 +89,22 @@
 
 	printf("goodput %llu of %llu (%.1f%%), %.1f/s\n", (unsigned long long)good,
 	       (unsigned long long)all, 100.0 * (double)good / (double)(all ? all : 1),
-	       (double)good / ld.seconds);
-	if (ld.nsamples) {
-		size_t n = ld.nsamples, p50 = n / 2, p99 = n * 99 / 100;
-
-		qsort(ld.samples, n, sizeof(*ld.samples), cmp_latency);
-		printf("latency_ms p50 %.2f p99 %.2f max %.2f\n", ld.samples[p50].lat_us / 1000.0,
-		       ld.samples[p99].lat_us / 1000.0, ld.samples[n - 1].lat_us / 1000.0);
-		qsort(ld.samples, n, sizeof(*ld.samples), cmp_second);
+	       (double)good / load_run.seconds);
+	if (load_run.nsamples) {
+		size_t n = load_run.nsamples, p50 = n / 2, p99 = n * 99 / 100;
+
+		qsort(load_run.samples, n, sizeof(*load_run.samples), cmp_latency);
+		printf("latency_ms p50 %.2f p99 %.2f max %.2f\n",
+		       load_run.samples[p50].lat_us / 1000.0, load_run.samples[p99].lat_us / 1000.0,
+		       load_run.samples[n - 1].lat_us / 1000.0);
+		qsort(load_run.samples, n, sizeof(*load_run.samples), cmp_second);
 	}
-	printf("attempts %llu client_dropped %llu crossed %llu\n", (unsigned long long)ld.attempts,
-	       (unsigned long long)ld.dropped, (unsigned long long)ld.crossed);
-	for (int i = 0; i < ld.nroutes; i++)
-		printf("goodput_route %s/%s %llu\n", ld.routes[i].service, ld.routes[i].name,
-		       (unsigned long long)ld.routes[i].good);
-	if (ld.surge_mult > 1)
+	printf("attempts %llu client_dropped %llu crossed %llu\n",
+	       (unsigned long long)load_run.attempts, (unsigned long long)load_run.dropped,
+	       (unsigned long long)load_run.crossed_answers);
+	for (int i = 0; i < load_run.nroutes; i++)
+		printf("goodput_route %s/%s %llu\n", load_run.routes[i].service,
+		       load_run.routes[i].name, (unsigned long long)load_run.routes[i].good);
+	if (load_run.surge_mult > 1)
 		printf("recovery_s %d\n", recovery_s());
 }
--- a/src/lwsim.c
+++ b/src/lwsim.c
@@ -17,12 +17,12 @@
 static void print_kind(const lw_sim_kind_t *k)
 {
 	const lw_sim_count_t *c = &k->count;
-	double owed = c->asked ? c->asked : 1;
+	double requests = c->asked ? c->asked : 1;
 
 	printf("%-14s asked %6u  in_target %6u (%5.1f%%)  late %5u  refused %5u  failed %5u  "
 	       "p50 %4u ms  p99 %4u ms\n",
-	       k->name, c->asked, c->in_target, 100.0 * c->in_target / owed, c->late, c->refused,
-	       c->failed, lw_sim_percentile(k, 0.5), lw_sim_percentile(k, 0.99));
+	       k->name, c->asked, c->in_target, 100.0 * c->in_target / requests, c->late,
+	       c->refused, c->failed, lw_sim_percentile(k, 0.5), lw_sim_percentile(k, 0.99));
 }
 
 static void print_result(const lw_sim_t *s)
--- a/src/lwstub_backend.c
+++ b/src/lwstub_backend.c
@@ -44,7 +44,7 @@
 	uint64_t started_ms;
 	unsigned extra_ms; /* injected slowness */
 	bool draining;
-	bool health_lies;
+	bool fake_healthy;
 	unsigned lose_percent; /* run, then close without an answer */
 	unsigned fail_percent; /* run, then answer 500 */
 	downstream_t calls[CALLS_MAX];
@@ -65,7 +65,7 @@
 }
 
 /* a slot, waited for in a queue of be.queue places until @deadline_at */
-static bool slot_take(uint64_t deadline_at)
+static bool slot_acquire(uint64_t deadline_at)
 {
 	bool ok;
 
@@ -83,7 +83,7 @@
 	return ok;
 }
 
-static void slot_give(void)
+static void slot_release(void)
 {
 	pthread_mutex_lock(&be.lock);
 	be.busy--;
@@ -113,7 +113,7 @@
 
 /* Call the downstream services of @route in order; false stops the request. */
 static bool call_downstream(const lw_http_req_t *req, const char *route, uint64_t deadline_at,
-			    lw_http_resp_t *resp, unsigned *retries, bool *acted)
+			    lw_http_resp_t *resp, unsigned *retries, bool *had_effects)
 {
 	const char *key = lw_http_header(req, "X-LW-Idempotency-Key");
 	const char *uid = lw_http_header(req, "X-LW-Request-Id");
@@ -148,7 +148,7 @@
 		*retries += r.retries_used;
 		if (r.fail || strcmp(r.outcome, "done") || r.status >= 500) {
 			/* we have not committed: pass on what the callee said of itself */
-			const char *o = r.fail || *acted || !r.outcome[0] ||
+			const char *o = r.fail || *had_effects || !r.outcome[0] ||
 							strcmp(r.outcome, "done") == 0 ?
 						"unknown" :
 						r.outcome;
@@ -161,7 +161,7 @@
 			free(r.body);
 			return false;
 		}
-		*acted |= !be.calls[i].read;
+		*had_effects |= !be.calls[i].read;
 		free(r.body);
 	}
 	return true;
@@ -176,14 +176,14 @@
 	uint64_t start = lw_now_ms();
 	uint64_t deadline_at = start + (dl ? strtoul(dl, NULL, 10) : 2000);
 	unsigned retries = 0, t;
-	bool acted = false;
+	bool had_effects = false;
 
-	if (!slot_take(deadline_at)) {
+	if (!slot_acquire(deadline_at)) {
 		answer_not_run(resp, be.draining ? "draining" : "overloaded");
 		return;
 	}
-	if (!call_downstream(req, route, deadline_at, resp, &retries, &acted)) {
-		slot_give();
+	if (!call_downstream(req, route, deadline_at, resp, &retries, &had_effects)) {
+		slot_release();
 		return;
 	}
 	t = service_time();
@@ -193,8 +193,8 @@
 
 		if (deadline_at > now)
 			usleep((useconds_t)(deadline_at - now) * 1000);
-		slot_give();
-		if (!acted) {
+		slot_release();
+		if (!had_effects) {
 			answer_not_run(resp, "deadline");
 			return;
 		}
@@ -212,7 +212,7 @@
 		fflush(be.log);
 	}
 	pthread_mutex_unlock(&be.lock);
-	slot_give();
+	slot_release();
 	if (erand48(tl_rng) * 100 < __atomic_load_n(&be.lose_percent, __ATOMIC_RELAXED)) {
 		resp->drop = true;
 		return;
@@ -228,11 +228,11 @@
 }
 
 /* a fault's strength, set while running; no value turns it off */
-static void set_knob(unsigned *knob, const char *value, lw_http_resp_t *resp)
+static void set_fault(unsigned *fault, const char *value, lw_http_resp_t *resp)
 {
 	unsigned v = value ? (unsigned)strtoul(value, NULL, 10) : 0;
 
-	__atomic_store_n(knob, v, __ATOMIC_RELAXED);
+	__atomic_store_n(fault, v, __ATOMIC_RELAXED);
 	lw_http_replyf(resp, 200, "%u\n", v);
 }
 
@@ -241,28 +241,28 @@
 	(void)ctx;
 	if (strcmp(req->url, "/health") == 0) {
 		pthread_mutex_lock(&be.lock);
-		bool ok = be.health_lies || (!be.draining && be.busy < be.slots);
+		bool ok = be.fake_healthy || (!be.draining && be.busy < be.slots);
 		pthread_mutex_unlock(&be.lock);
 		lw_http_replyf(resp, ok ? 200 : 503, ok ? "ok\n" : "busy\n");
 	} else if (strcmp(req->url, "/load") == 0) {
 		pthread_mutex_lock(&be.lock);
 		lw_http_replyf(resp, 200, "busy %u\nslots %u\nexecs %llu\n",
-			       be.health_lies ? 0 : be.busy, be.slots,
+			       be.fake_healthy ? 0 : be.busy, be.slots,
 			       (unsigned long long)be.execs);
 		pthread_mutex_unlock(&be.lock);
 	} else if (strcmp(req->url, "/ctl/slow") == 0) {
-		set_knob(&be.extra_ms, lw_http_arg(req, "ms"), resp);
+		set_fault(&be.extra_ms, lw_http_arg(req, "ms"), resp);
 	} else if (strcmp(req->url, "/ctl/lose") == 0) {
-		set_knob(&be.lose_percent, lw_http_arg(req, "percent"), resp);
+		set_fault(&be.lose_percent, lw_http_arg(req, "percent"), resp);
 	} else if (strcmp(req->url, "/ctl/fail") == 0) {
-		set_knob(&be.fail_percent, lw_http_arg(req, "percent"), resp);
+		set_fault(&be.fail_percent, lw_http_arg(req, "percent"), resp);
 	} else if (strcmp(req->url, "/ctl/drain") == 0) {
 		pthread_mutex_lock(&be.lock);
 		be.draining = true;
 		pthread_mutex_unlock(&be.lock);
 		lw_http_replyf(resp, 200, "draining\n");
 	} else if (strcmp(req->url, "/ctl/lie") == 0) {
-		be.health_lies = true;
+		be.fake_healthy = true;
 		lw_http_replyf(resp, 200, "lying\n");
 	} else {
 		serve_work(req, resp);
--- a/src/lwstub_relay.c
+++ b/src/lwstub_relay.c
@@ -30,8 +30,8 @@
 } link_t;
 
 static unsigned relay_epoch;
-static unsigned relay_cut; /* 0 or 1 */
-static const char *relay_to;
+static unsigned relay_partitioned; /* 0 or 1 */
+static const char *relay_target;
 
 /* move what is there from @in to @out; false when @in ended */
 static bool forward(int in, int out)
@@ -53,7 +53,7 @@
 	return true;
 }
 
-static bool silent(const link_t *l)
+static bool is_silent(const link_t *l)
 {
 	return l->epoch != __atomic_load_n(&relay_epoch, __ATOMIC_RELAXED);
 }
@@ -67,12 +67,12 @@
 		struct pollfd p[2] = { { .fd = l->near, .events = POLLIN },
 				       { .fd = l->far, .events = POLLIN } };
 
-		if (silent(l)) {
+		if (is_silent(l)) {
 			/* neither end is told: both sockets stay open and unread */
 			pause();
 			continue;
 		}
-		if (poll(p, 2, RELAY_POLL_MS) <= 0 || silent(l))
+		if (poll(p, 2, RELAY_POLL_MS) <= 0 || is_silent(l))
 			continue;
 		if (p[0].revents)
 			open = forward(l->near, l->far);
@@ -85,7 +85,7 @@
 	return NULL;
 }
 
-static void take(int near)
+static void accept_link(int near)
 {
 	link_t *l = xcalloc(1, sizeof(*l));
 	pthread_attr_t attr;
@@ -94,11 +94,11 @@
 	l->near = near;
 	l->epoch = __atomic_load_n(&relay_epoch, __ATOMIC_RELAXED);
 	l->far = -1;
-	if (__atomic_load_n(&relay_cut, __ATOMIC_RELAXED)) {
+	if (__atomic_load_n(&relay_partitioned, __ATOMIC_RELAXED)) {
 		free(l); /* taken by the kernel, never answered: as behind a partition */
 		return;
 	}
-	if (lw_sock_connect(relay_to, RELAY_CONNECT_MS, &l->far)) {
+	if (lw_sock_connect(relay_target, RELAY_CONNECT_MS, &l->far)) {
 		close(near);
 		free(l);
 		return;
@@ -122,7 +122,7 @@
 		int c = accept4(fd, NULL, NULL, SOCK_CLOEXEC);
 
 		if (c >= 0)
-			take(c);
+			accept_link(c);
 	}
 	return NULL;
 }
@@ -135,7 +135,7 @@
 		if (sig != SIGUSR1 && sig != SIGUSR2)
 			return;
 		if (sig == SIGUSR2)
-			__atomic_xor_fetch(&relay_cut, 1, __ATOMIC_RELAXED);
+			__atomic_xor_fetch(&relay_partitioned, 1, __ATOMIC_RELAXED);
 		__atomic_add_fetch(&relay_epoch, 1, __ATOMIC_RELAXED);
 	}
 }
@@ -158,7 +158,7 @@
 		fprintf(stderr, "lwstub-relay: give --listen and --to; see --help\n");
 		return 2;
 	}
-	relay_to = to->sval[0];
+	relay_target = to->sval[0];
 	sigemptyset(&set);
 	sigaddset(&set, SIGTERM);
 	sigaddset(&set, SIGINT);
@@ -171,7 +171,7 @@
 		return 1;
 	}
 	pthread_create(&t, NULL, accept_main, &fd);
-	lw_log(LW_LOG_started, "listen=%s to=%s", listen->sval[0], relay_to);
+	lw_log(LW_LOG_started, "listen=%s to=%s", listen->sval[0], relay_target);
 	serve_signals(&set);
 	return 0;
 }
--- a/src/node.c
+++ b/src/node.c
@@ -94,7 +94,7 @@
 }
 
 /* the request's thread gave up on it while it was queued: free its slot */
-static void admit_abandoned(lw_node_t *n, uint64_t id)
+static void release_abandoned(lw_node_t *n, uint64_t id)
 {
 	lw_event_t ev = {
 		.kind = LW_EV_IN_DONE, .id = id, .outcome = LW_NOT_RUN, .reason = LW_R_DEADLINE
@@ -104,7 +104,7 @@
 }
 
 /* carry out one effect; called with the lock held */
-static void apply(lw_node_t *n, const lw_effect_t *e)
+static void apply_effect(lw_node_t *n, const lw_effect_t *e)
 {
 	lw_call_t *c = NULL;
 
@@ -112,7 +112,7 @@
 	switch (e->kind) {
 	case LW_FX_ADMIT:
 		if (!c) {
-			admit_abandoned(n, e->id);
+			release_abandoned(n, e->id);
 			return;
 		}
 		c->state = LW_CALL_ADMITTED;
@@ -165,7 +165,7 @@
 	ev->now_ms = lw_now_ms();
 	n->policy->ops->step(n->policy, ev, &fx);
 	for (size_t i = 0; i < fx.n; i++)
-		apply(n, &fx.fx[i]);
+		apply_effect(n, &fx.fx[i]);
 	lw_effects_free(&fx);
 }
 
@@ -345,7 +345,7 @@
 }
 
 /* no caller has sent a request for a while, nor is one being answered */
-static bool quiet(lw_node_t *n, uint64_t drained_at, uint64_t now)
+static bool callers_quiet(lw_node_t *n, uint64_t drained_at, uint64_t now)
 {
 	uint64_t last = lw_httpd_last_ms(n->http);
 
@@ -371,7 +371,8 @@
 
 		if (drained && !drained_at)
 			drained_at = now;
-		if (drained && (quiet(n, drained_at, now) || now - drained_at >= LINGER_MAX_MS))
+		if (drained &&
+		    (callers_quiet(n, drained_at, now) || now - drained_at >= LINGER_MAX_MS))
 			return 0;
 		if (now >= until)
 			return 1;
--- a/src/simfleet.c
+++ b/src/simfleet.c
@@ -18,12 +18,12 @@
 #include "xalloc.h"
 
 /* when a refused caller comes back if no server said better, ms, as in exchange.c */
-#define COMEBACK_DEFAULT_MS 250
+#define RETRY_AFTER_DEFAULT_MS 250
 /* first guess of a node's service time, us, as in gate.c */
 #define SERVICE_FIRST_US 50000
 #define LATENCIES_MAX	 200000
 
-static void attempt(run_t *r, req_t *q, lw_fail_t last);
+static void send_attempt(run_t *r, req_t *q, lw_fail_t last);
 static void resend(run_t *r, req_t *q);
 
 static lw_sim_kind_t *kind_by_name(lw_sim_t *s, const char *name)
@@ -50,17 +50,17 @@
 	q->give_up_us = r->now + (uint64_t)k->timeout_ms * 1000;
 	q->target_us = parent ? parent->target_us : r->now + (uint64_t)k->target_ms * 1000;
 	if (parent) {
-		q->rank = lw_sim_has(r->sim, LW_SIM_INHERITED_RANK) ?
+		q->rank = lw_sim_has_mechanism(r->sim, LW_SIM_INHERITED_RANK) ?
 				  parent->rank :
 				  lw_rank(k->priority, lw_str_c(k->name));
 		q->above = parent->above + 1;
-		q->attempts.nested = lw_sim_has(r->sim, LW_SIM_RESENDS);
+		q->attempts.nested = lw_sim_has_mechanism(r->sim, LW_SIM_RESENDS);
 		if (q->give_up_us > parent->give_up_us)
 			q->give_up_us = parent->give_up_us;
 	} else {
 		snprintf(id, sizeof(id), "%llx", (unsigned long long)lw_sim_random(r));
 		q->rank = lw_rank(k->priority, lw_str_c(id));
-		if (lw_sim_has(r->sim, LW_SIM_WEIGHED_RANKS))
+		if (lw_sim_has_mechanism(r->sim, LW_SIM_WEIGHED_RANKS))
 			q->rank = lw_hotpath_weighed(origin->hot, k->name, q->rank, r->now);
 		q->tries_left = k->retries;
 	}
@@ -74,13 +74,13 @@
 
 	lw_retrylimit_request(&s->retries, &r->terms, r->now);
 	lw_sim_push(r, LW_SIM_TIMEOUT, q->give_up_us, q);
-	attempt(r, q, LW_FAIL_NO_SERVER);
+	send_attempt(r, q, LW_FAIL_NO_SERVER);
 }
 
 static void next_call(run_t *r, req_t *q)
 {
 	if (q->call_failed || !q->calls_left) {
-		lw_sim_run_over(r, q, q->call_failed);
+		lw_sim_complete_run(r, q, q->call_failed);
 		return;
 	}
 	q->calls_left--;
@@ -90,36 +90,36 @@
 }
 
 /* whoever waits for the request hears its outcome */
-static void finish(run_t *r, req_t *q, bool good, bool refused, uint32_t room_ms)
+static void finish(run_t *r, req_t *q, bool good, bool refused, uint32_t retry_after_ms)
 {
 	lw_sim_count_t *c = &q->kind->count;
 	uint64_t took_ms = (r->now - q->first_us) / 1000;
 	uint32_t second = (uint32_t)(q->first_us / 1000000);
 
-	if (q->over)
+	if (q->finished)
 		return;
-	q->over = true;
+	q->finished = true;
 	if (q->parent) {
 		req_t *p = q->parent;
 
 		p->work_done_ms += q->work_done_ms;
 		p->call_failed |= !good;
-		if (!p->over)
+		if (!p->finished)
 			next_call(r, p);
 		else
-			lw_sim_run_over(r, p, true);
+			lw_sim_complete_run(r, p, true);
 		return;
 	}
 	if (refused && q->tries_left) {
 		uint32_t left = q->kind->deadline_ms > took_ms ?
 					q->kind->deadline_ms - (uint32_t)took_ms :
 					0;
-		uint32_t ms = lw_comeback_ms(room_ms ? room_ms : COMEBACK_DEFAULT_MS,
-					     q->kind->priority, left, (uint32_t)lw_sim_random(r));
-		lw_simevent_t *e =
-			lw_sim_push(r, LW_SIM_RETURN, r->now + (uint64_t)ms * 1000, NULL);
+		uint32_t ms =
+			lw_comeback_ms(retry_after_ms ? retry_after_ms : RETRY_AFTER_DEFAULT_MS,
+				       q->kind->priority, left, (uint32_t)lw_sim_random(r));
+		lw_simevent_t *e = lw_sim_push(r, LW_SIM_RETRY, r->now + (uint64_t)ms * 1000, NULL);
 
-		e->of = q->kind;
+		e->request_kind = q->kind;
 		e->req = q;
 		r->sim->total.refusals++;
 		return;
@@ -141,7 +141,7 @@
 	}
 }
 
-static void took_load(run_t *r, req_t *q, const lw_load_t *load, bool served)
+static void record_load(run_t *r, req_t *q, const lw_load_t *load, bool served)
 {
 	lw_load_t path = *load;
 	lw_place_service_t *s = q->host->service;
@@ -180,7 +180,7 @@
 	bool yes;
 
 	/* as if all ranks of a priority were one */
-	if (!lw_sim_has(r->sim, LW_SIM_LOWEST_RANKS))
+	if (!lw_sim_has_mechanism(r->sim, LW_SIM_LOWEST_RANKS))
 		at.rank -= at.rank % LW_RANKS_PER_PRIORITY;
 	yes = lw_retrylimit_take(&q->host->service->retries, &r->terms, &at, r->now);
 
@@ -193,21 +193,21 @@
 	req_t *q = e->req;
 	lw_verdict_t v;
 
-	if (q->over)
+	if (q->finished)
 		return;
-	took_load(r, q, &e->load, e->why == LW_FAIL_NONE && !e->bad);
-	lw_place_ended(q->host, e->why == LW_FAIL_NONE && !e->bad, r->now);
-	if (e->why == LW_FAIL_NONE && !e->bad) {
+	record_load(r, q, &e->load, e->why == LW_FAIL_NONE && !e->server_failed);
+	lw_place_ended(q->host, e->why == LW_FAIL_NONE && !e->server_failed, r->now);
+	if (e->why == LW_FAIL_NONE && !e->server_failed) {
 		finish(r, q, true, false, 0);
 		return;
 	}
-	q->attempts.left_ms = lw_sim_left_ms(r, q);
+	q->attempts.left_ms = lw_sim_remaining_ms(r, q);
 	if (e->why == LW_FAIL_NONE) {
 		q->attempts.given++;
 		if (!e->load.call_failed &&
 		    lw_retry_answer(&q->attempts, 500) == LW_VERDICT_AGAIN_COUNTED &&
 		    take_retry(r, q))
-			attempt(r, q, LW_FAIL_BROKEN);
+			send_attempt(r, q, LW_FAIL_BROKEN);
 		else
 			finish(r, q, false, false, 0);
 		return;
@@ -218,11 +218,11 @@
 		q->attempts.given++;
 	v = lw_retry_verdict(&q->attempts, e->why);
 	if (v == LW_VERDICT_AGAIN || (v == LW_VERDICT_AGAIN_COUNTED && take_retry(r, q)))
-		attempt(r, q, e->why);
+		send_attempt(r, q, e->why);
 	else if (v == LW_VERDICT_SAME_COUNTED && take_retry(r, q))
 		resend(r, q);
 	else
-		finish(r, q, false, v == LW_VERDICT_REFUSE, e->room_ms);
+		finish(r, q, false, v == LW_VERDICT_REFUSE, e->retry_after_ms);
 }
 
 static sim_node_t *node_of(run_t *r, const char *id)
@@ -230,7 +230,7 @@
 	return &r->node[atoi(id + 1)];
 }
 
-static void give(run_t *r, req_t *q)
+static void send_to_node(run_t *r, req_t *q)
 {
 	q->hots.n = 0;
 	q->call_failed = false;
@@ -240,7 +240,7 @@
 		    r->now + (q->host->self ? 0 : (uint64_t)(r->sim->net_ms * 1000)), q);
 }
 
-static void attempt(run_t *r, req_t *q, lw_fail_t last)
+static void send_attempt(run_t *r, req_t *q, lw_fail_t last)
 {
 	lw_place_service_t *s = lw_place_service(&q->origin->place, q->kind->service);
 	lw_place_ask_t ask = { r->now, 0, (uint32_t)lw_sim_random(r) };
@@ -258,17 +258,17 @@
 	}
 	q->tried.host[q->tried.n++] = h;
 	q->host = h;
-	give(r, q);
+	send_to_node(r, q);
 }
 
 /* once more to the server that shed it */
 static void resend(run_t *r, req_t *q)
 {
 	q->attempts.resent++;
-	give(r, q);
+	send_to_node(r, q);
 }
 
-static void begin(run_t *r, lw_sim_kind_t *k, uint64_t first_us, uint32_t tries_left)
+static void start_user_request(run_t *r, lw_sim_kind_t *k, uint64_t first_us, uint32_t tries_left)
 {
 	sim_node_t *origin = &r->node[lw_sim_random(r) % r->nnodes];
 	req_t *q = new_req(r, k, origin, NULL);
@@ -276,7 +276,7 @@
 
 	q->first_us = first_us;
 	q->tries_left = tries_left;
-	if (lw_sim_has(r->sim, LW_SIM_LEVELS) &&
+	if (lw_sim_has_mechanism(r->sim, LW_SIM_LEVELS) &&
 	    !lw_hotpath_admits(origin->hot, k->name, q->rank, r->now, &by)) {
 		finish(r, q, false, true, 0);
 		return;
@@ -303,9 +303,9 @@
 	k->count.asked++;
 	if (second < LW_SIM_SECONDS_MAX)
 		r->sim->asked_at[second]++;
-	begin(r, k, r->now, k->retries);
+	start_user_request(r, k, r->now, k->retries);
 	e = lw_sim_push(r, LW_SIM_ARRIVE, r->now + (uint64_t)(gap * 1e6), NULL);
-	e->of = k;
+	e->request_kind = k;
 }
 
 static void on_step(run_t *r)
@@ -321,7 +321,7 @@
 			lw_load_t load;
 
 			lw_waitq_remove(&n->queue, w);
-			lw_sim_load_of(n, &load);
+			lw_sim_node_load(n, &load);
 			lw_sim_send_answer(r, (req_t *)(void *)w, LW_FAIL_EXPIRED, false,
 					   lw_admit_retry_after_ms(&load));
 		}
@@ -332,7 +332,7 @@
 
 static void on_timeout(run_t *r, req_t *q)
 {
-	if (q->over)
+	if (q->finished)
 		return;
 	if (q->queued) {
 		lw_waitq_remove(&q->at->queue, &q->waiter);
@@ -341,19 +341,19 @@
 	finish(r, q, false, false, 0);
 }
 
-static void handle(run_t *r, const lw_simevent_t *e)
+static void handle_event(run_t *r, const lw_simevent_t *e)
 {
 	req_t *q = e->req;
 
 	switch (e->kind) {
 	case LW_SIM_ARRIVE:
-		on_arrive(r, e->of);
+		on_arrive(r, e->request_kind);
 		break;
 	case LW_SIM_AT_NODE:
-		if (!q->over)
+		if (!q->finished)
 			lw_sim_at_node(r, q);
 		break;
-	case LW_SIM_WORKED:
+	case LW_SIM_WORK_DONE:
 		next_call(r, q);
 		break;
 	case LW_SIM_ANSWER:
@@ -362,8 +362,8 @@
 	case LW_SIM_TIMEOUT:
 		on_timeout(r, q);
 		break;
-	case LW_SIM_RETURN:
-		begin(r, e->of, q->first_us, q->tries_left - 1);
+	case LW_SIM_RETRY:
+		start_user_request(r, e->request_kind, q->first_us, q->tries_left - 1);
 		break;
 	case LW_SIM_STEP:
 		on_step(r);
@@ -389,8 +389,9 @@
 			n->service = (uint32_t)i;
 			n->index = k;
 			n->slots = e->slots;
-			n->limit = lw_sim_has(s, LW_SIM_KNEE_MARGIN) ? lw_admit_limit(e->slots) :
-								       e->slots;
+			n->limit = lw_sim_has_mechanism(s, LW_SIM_KNEE_MARGIN) ?
+					   lw_admit_limit(e->slots) :
+					   e->slots;
 			n->speed = s->services[i].speed[k];
 			if (k == 0 && strcmp(s->slow_service, s->services[i].name) == 0)
 				n->speed /= s->slow_x;
@@ -420,13 +421,13 @@
 	for (size_t i = 0; i < s->nkinds; i++)
 		if (s->kinds[i].rate > 0)
 			lw_sim_push(r, LW_SIM_ARRIVE, (uint64_t)(lw_sim_random01(r) * 1e5), NULL)
-				->of = &s->kinds[i];
+				->request_kind = &s->kinds[i];
 	lw_sim_push(r, LW_SIM_STEP, LW_LEVEL_STEP_MS * 1000, NULL);
 	while (r->events.len) {
 		lw_simevent_t e = lw_simqueue_pop(&r->events);
 
 		r->now = e.at_us;
-		handle(r, &e);
+		handle_event(r, &e);
 	}
 	lw_simqueue_free(&r->events);
 	free(r);
--- a/src/simfleet.h
+++ b/src/simfleet.h
@@ -106,7 +106,7 @@
 lw_status_t lw_sim_load(const char *path, lw_sim_t **out);
 lw_status_t lw_sim_set_policy(lw_sim_t *s, const char *name);
 lw_status_t lw_sim_set_without(lw_sim_t *s, const char *name);
-bool lw_sim_has(const lw_sim_t *s, lw_sim_mechanism_t m);
+bool lw_sim_has_mechanism(const lw_sim_t *s, lw_sim_mechanism_t m);
 void lw_sim_run(lw_sim_t *s, uint64_t seed);
 void lw_sim_free(lw_sim_t *s);
 uint32_t lw_sim_percentile(const lw_sim_kind_t *k, double part);
--- a/src/simfleet_int.h
+++ b/src/simfleet_int.h
@@ -58,7 +58,7 @@
 	uint32_t retry_used; /* per mille of the repeats allowed that its calls use */
 	bool queued;
 	bool call_failed;
-	bool over; /* answered to whoever waits */
+	bool finished; /* answered to whoever waits */
 };
 
 struct run {
@@ -76,10 +76,11 @@
 uint64_t lw_sim_random(run_t *r);
 double lw_sim_random01(run_t *r);
 lw_simevent_t *lw_sim_push(run_t *r, lw_simevent_kind_t kind, uint64_t at_us, req_t *q);
-uint32_t lw_sim_left_ms(const run_t *r, const req_t *q);
-void lw_sim_load_of(const sim_node_t *n, lw_load_t *out);
-void lw_sim_send_answer(run_t *r, req_t *q, lw_fail_t why, bool bad, uint32_t room_ms);
+uint32_t lw_sim_remaining_ms(const run_t *r, const req_t *q);
+void lw_sim_node_load(const sim_node_t *n, lw_load_t *out);
+void lw_sim_send_answer(run_t *r, req_t *q, lw_fail_t why, bool server_failed,
+			uint32_t retry_after_ms);
 void lw_sim_at_node(run_t *r, req_t *q);
-void lw_sim_run_over(run_t *r, req_t *q, bool bad);
+void lw_sim_complete_run(run_t *r, req_t *q, bool server_failed);
 
 #endif
--- a/src/simload.c
+++ b/src/simload.c
@@ -12,7 +12,7 @@
 #define FILE_MAX_BYTES 65536
 #define LATENCIES_MAX  200000
 
-static double number(const lw_toml_node_t *t, const char *key, double otherwise)
+static double number(const lw_toml_node_t *t, const char *key, double fallback)
 {
 	const lw_toml_node_t *v = lw_toml_get(t, key);
 	int64_t i;
@@ -20,7 +20,7 @@
 
 	if (v && lw_toml_float(v, &d))
 		return d;
-	return v && lw_toml_int(v, &i) ? (double)i : otherwise;
+	return v && lw_toml_int(v, &i) ? (double)i : fallback;
 }
 
 static void text(const lw_toml_node_t *t, const char *key, char *dst)
@@ -170,7 +170,7 @@
 }
 
 /* lw_sim_has() - whether the policy that is played has mechanism @m. */
-bool lw_sim_has(const lw_sim_t *s, lw_sim_mechanism_t m)
+bool lw_sim_has_mechanism(const lw_sim_t *s, lw_sim_mechanism_t m)
 {
 	/* the last policy that has it */
 	static const lw_sim_policy_t last[LW_SIM_MECHANISMS] = {
--- a/src/simplot.c
+++ b/src/simplot.c
@@ -8,12 +8,12 @@
 #define HEIGHT 320
 #define MARGIN 40
 
-static void line(cairo_t *c, const lw_sim_t *s, const uint32_t *at, double most)
+static void draw_series(cairo_t *c, const lw_sim_t *s, const uint32_t *at, double peak)
 {
 	double step = (WIDTH - 2.0 * MARGIN) / s->length_s;
 
 	for (uint32_t t = 0; t < (uint32_t)s->length_s && t < LW_SIM_SECONDS_MAX; t++) {
-		double y = HEIGHT - MARGIN - at[t] / most * (HEIGHT - 2.0 * MARGIN);
+		double y = HEIGHT - MARGIN - at[t] / peak * (HEIGHT - 2.0 * MARGIN);
 
 		if (t)
 			cairo_line_to(c, MARGIN + (t + 0.5) * step, y);
@@ -23,7 +23,7 @@
 	cairo_stroke(c);
 }
 
-static void axes(cairo_t *c, const lw_sim_t *s, double most)
+static void draw_axes(cairo_t *c, const lw_sim_t *s, double peak)
 {
 	char label[64];
 
@@ -32,7 +32,7 @@
 	cairo_set_line_width(c, 1);
 	cairo_stroke(c);
 	cairo_set_font_size(c, 11);
-	snprintf(label, sizeof(label), "%.0f/s", most);
+	snprintf(label, sizeof(label), "%.0f/s", peak);
 	cairo_move_to(c, 4, MARGIN);
 	cairo_show_text(c, label);
 	snprintf(label, sizeof(label), "%.0f s", s->length_s);
@@ -48,19 +48,19 @@
 	cairo_surface_t *surface = cairo_image_surface_create(CAIRO_FORMAT_RGB24, WIDTH, HEIGHT);
 	cairo_t *c = cairo_create(surface);
 	cairo_status_t st;
-	double most = 1;
+	double peak = 1;
 
 	for (uint32_t t = 0; t < LW_SIM_SECONDS_MAX; t++)
-		if (s->asked_at[t] > most)
-			most = s->asked_at[t];
+		if (s->asked_at[t] > peak)
+			peak = s->asked_at[t];
 	cairo_set_source_rgb(c, 1, 1, 1);
 	cairo_paint(c);
-	axes(c, s, most);
+	draw_axes(c, s, peak);
 	cairo_set_line_width(c, 2);
 	cairo_set_source_rgb(c, 0.6, 0.6, 0.6);
-	line(c, s, s->asked_at, most);
+	draw_series(c, s, s->asked_at, peak);
 	cairo_set_source_rgb(c, 0.1, 0.3, 0.8);
-	line(c, s, s->good_at, most);
+	draw_series(c, s, s->good_at, peak);
 	st = cairo_surface_write_to_png(surface, path);
 	cairo_destroy(c);
 	cairo_surface_destroy(surface);
--- a/src/simqueue.h
+++ b/src/simqueue.h
@@ -14,10 +14,10 @@
 typedef enum lw_simevent_kind {
 	LW_SIM_ARRIVE, /* a user request of a kind */
 	LW_SIM_AT_NODE, /* a request reaches the node of its server */
-	LW_SIM_WORKED, /* the own work of a request is done */
+	LW_SIM_WORK_DONE, /* the own work of a request is done */
 	LW_SIM_ANSWER, /* an answer reaches the origin */
 	LW_SIM_TIMEOUT,
-	LW_SIM_RETURN, /* a refused caller comes back */
+	LW_SIM_RETRY, /* a refused caller comes back */
 	LW_SIM_STEP, /* levels are adjusted */
 } lw_simevent_kind_t;
 
@@ -26,10 +26,10 @@
 	uint64_t seq; /* orders events of the same time */
 	lw_simevent_kind_t kind;
 	struct req *req;
-	struct lw_sim_kind *of;
+	struct lw_sim_kind *request_kind;
 	lw_fail_t why; /* LW_SIM_ANSWER: LW_FAIL_NONE is an answer */
-	uint32_t room_ms;
-	bool bad; /* LW_SIM_ANSWER: the server answered with a failure */
+	uint32_t retry_after_ms;
+	bool server_failed; /* LW_SIM_ANSWER: the server answered with a failure */
 	lw_load_t load;
 } lw_simevent_t;
 
--- a/src/simresult.c
+++ b/src/simresult.c
@@ -5,7 +5,7 @@
 #include "simfleet.h"
 #include "xalloc.h"
 
-static int by_value(const void *a, const void *b)
+static int cmp_latency(const void *a, const void *b)
 {
 	return *(const uint16_t *)a - *(const uint16_t *)b;
 }
@@ -20,7 +20,7 @@
 		return 0;
 	sorted = xmalloc(k->nlatency * sizeof(*sorted));
 	memcpy(sorted, k->latency_ms, k->nlatency * sizeof(*sorted));
-	qsort(sorted, k->nlatency, sizeof(*sorted), by_value);
+	qsort(sorted, k->nlatency, sizeof(*sorted), cmp_latency);
 	v = sorted[(size_t)((double)(k->nlatency - 1) * part)];
 	free(sorted);
 	return v;
@@ -47,7 +47,7 @@
 /* lw_sim_bottleneck() - use of the busiest service's slots during the burst. */
 double lw_sim_bottleneck(const lw_sim_t *s)
 {
-	double most = 0;
+	double peak = 0;
 
 	for (size_t i = 0; i < s->nservices; i++) {
 		const lw_sim_service_t *sv = &s->services[i];
@@ -56,10 +56,10 @@
 		for (uint32_t k = 0; k < sv->servers; k++)
 			speed += sv->speed[k];
 		speed *= sv->slots * s->burst_for_s * 1000;
-		if (speed > 0 && s->busy_ms[i] / speed > most)
-			most = s->busy_ms[i] / speed;
+		if (speed > 0 && s->busy_ms[i] / speed > peak)
+			peak = s->busy_ms[i] / speed;
 	}
-	return most;
+	return peak;
 }
 
 /* lw_sim_recovery_s() - from the end of the burst until 95% are in target again. */
--- a/src/simserver.c
+++ b/src/simserver.c
@@ -30,7 +30,7 @@
 	return ((lw_sim_random(r) >> 11) + 0.5) / 9007199254740992.0;
 }
 
-static double work_of(run_t *r, const lw_sim_kind_t *k)
+static double draw_work_ms(run_t *r, const lw_sim_kind_t *k)
 {
 	double normal = sqrt(-2 * log(lw_sim_random01(r))) * cos(2 * M_PI * lw_sim_random01(r));
 
@@ -47,7 +47,7 @@
 }
 
 /* lw_sim_load_of() - what a node tells of its server. */
-void lw_sim_load_of(const sim_node_t *n, lw_load_t *out)
+void lw_sim_node_load(const sim_node_t *n, lw_load_t *out)
 {
 	memset(out, 0, sizeof(*out));
 	out->running = n->running;
@@ -58,15 +58,16 @@
 }
 
 /* lw_sim_send_answer() - the outcome of @q, on its way to where it began. */
-void lw_sim_send_answer(run_t *r, req_t *q, lw_fail_t why, bool bad, uint32_t room_ms)
+void lw_sim_send_answer(run_t *r, req_t *q, lw_fail_t why, bool server_failed,
+			uint32_t retry_after_ms)
 {
 	uint64_t at = r->now + (uint64_t)(r->sim->net_ms * 1000);
 	lw_simevent_t *e = lw_sim_push(r, LW_SIM_ANSWER, at, q);
 
 	e->why = why;
-	e->bad = bad;
-	e->room_ms = room_ms;
-	lw_sim_load_of(q->at, &e->load);
+	e->server_failed = server_failed;
+	e->retry_after_ms = retry_after_ms;
+	lw_sim_node_load(q->at, &e->load);
 	e->load.hots = q->hots;
 	e->load.ran_us = why == LW_FAIL_NONE ? (uint32_t)(r->now - q->started_us) : 0;
 	e->load.depth = q->depth;
@@ -75,7 +76,7 @@
 }
 
 /* lw_sim_left_ms() - what the request's caller still waits. */
-uint32_t lw_sim_left_ms(const run_t *r, const req_t *q)
+uint32_t lw_sim_remaining_ms(const run_t *r, const req_t *q)
 {
 	return q->give_up_us > r->now ? (uint32_t)((q->give_up_us - r->now) / 1000) : 0;
 }
@@ -85,7 +86,7 @@
 {
 	sim_node_t *n = q->at;
 	const lw_sim_service_t *sv = &r->sim->services[n->service];
-	double ms = work_of(r, q->kind) / n->speed;
+	double ms = draw_work_ms(r, q->kind) / n->speed;
 
 	if (sv->knee > 0 && n->running > sv->knee * n->slots)
 		ms *= sv->knee_x;
@@ -98,12 +99,12 @@
 		r->sim->busy_ms[n->service] += ms * n->speed;
 	n->running++;
 	q->calls_left = q->kind->call[0] ? q->kind->calls : 0;
-	lw_sim_push(r, LW_SIM_WORKED, r->now + (uint64_t)(ms * 1000), q);
+	lw_sim_push(r, LW_SIM_WORK_DONE, r->now + (uint64_t)(ms * 1000), q);
 }
 
 static uint32_t queue_ms(const run_t *r, const req_t *q)
 {
-	return q->parent ? lw_sim_left_ms(r, q) : q->kind->target_ms * QUEUE_NEW_PERCENT / 100;
+	return q->parent ? lw_sim_remaining_ms(r, q) : q->kind->target_ms * QUEUE_NEW_PERCENT / 100;
 }
 
 static void dispatch(run_t *r, sim_node_t *n);
@@ -113,14 +114,14 @@
 {
 	sim_node_t *n = q->at;
 	bool naive = r->sim->policy == LW_SIM_NAIVE;
-	lw_ask_t ask = { .deadline_ms = lw_sim_left_ms(r, q), .queue_ms = queue_ms(r, q) };
+	lw_ask_t ask = { .deadline_ms = lw_sim_remaining_ms(r, q), .queue_ms = queue_ms(r, q) };
 	lw_admit_state_t st;
 	lw_fail_t why;
 
 	lw_level_arrival(&n->level, q->rank);
-	lw_sim_load_of(n, &st.load);
+	lw_sim_node_load(n, &st.load);
 	q->waiter.priority = r->sim->policy >= LW_SIM_FIFO ? 0 : q->rank / LW_RANKS_PER_PRIORITY;
-	if (lw_sim_has(r->sim, LW_SIM_OBJECTIVE_ORDER)) {
+	if (lw_sim_has_mechanism(r->sim, LW_SIM_OBJECTIVE_ORDER)) {
 		q->waiter.target_us = q->target_us;
 		q->waiter.late = q->target_us < r->now + (uint64_t)n->service_us;
 	}
@@ -169,12 +170,12 @@
 }
 
 /* lw_sim_run_over() - a server has answered; the next request may start. */
-void lw_sim_run_over(run_t *r, req_t *q, bool bad)
+void lw_sim_complete_run(run_t *r, req_t *q, bool server_failed)
 {
 	sim_node_t *n = q->at;
 
 	n->running--;
 	n->service_us += SERVICE_EWMA * ((double)(r->now - q->started_us) - n->service_us);
-	lw_sim_send_answer(r, q, LW_FAIL_NONE, bad, 0);
+	lw_sim_send_answer(r, q, LW_FAIL_NONE, server_failed, 0);
 	dispatch(r, n);
 }
