--- a/src/bytebuf.c
+++ b/src/bytebuf.c
@@ -1,4 +1,4 @@
-/* Byte queues; see bytebuf.h. */
+/* Growable byte queues; see bytebuf.h. */
 #include "bytebuf.h"
 
 #include <stdarg.h>
@@ -8,9 +8,9 @@
 
 #include "xalloc.h"
 
-/* first allocation: holds the head of most requests */
+/* size of the first allocation; fits the head of most requests */
 #define BYTEBUF_MIN 512
-/* an emptied queue above this size gives its memory back */
+/* an empty queue releases its memory if it has more than this */
 #define BYTEBUF_KEEP 16384
 
 /* lw_bytebuf_free() - release the memory; the queue is empty afterwards. */
@@ -20,21 +20,21 @@
 	memset(b, 0, sizeof(*b));
 }
 
-/* lw_bytebuf_len() - bytes held. */
+/* lw_bytebuf_len() - number of bytes in the queue. */
 size_t lw_bytebuf_len(const lw_bytebuf_t *b)
 {
 	return b->end - b->start;
 }
 
-/* lw_bytebuf_head() - the first byte held. */
+/* lw_bytebuf_head() - pointer to the first byte in the queue. */
 char *lw_bytebuf_head(const lw_bytebuf_t *b)
 {
 	return b->data + b->start;
 }
 
 /*
- * lw_bytebuf_reserve() - room for @len more bytes; write them to the
- * returned place, then call lw_bytebuf_commit().
+ * lw_bytebuf_reserve() - make room for @len more bytes and return where to
+ * write them. lw_bytebuf_commit() then adds them to the queue.
  */
 char *lw_bytebuf_reserve(lw_bytebuf_t *b, size_t len)
 {
@@ -58,13 +58,13 @@
 	return b->data + b->end;
 }
 
-/* lw_bytebuf_commit() - count @len bytes written after a reserve. */
+/* lw_bytebuf_commit() - add @len bytes that were written after lw_bytebuf_reserve(). */
 void lw_bytebuf_commit(lw_bytebuf_t *b, size_t len)
 {
 	b->end += len;
 }
 
-/* lw_bytebuf_append() - copy @len bytes to the end. */
+/* lw_bytebuf_append() - append a copy of the @len bytes at @src. */
 void lw_bytebuf_append(lw_bytebuf_t *b, const void *src, size_t len)
 {
 	if (!len)
@@ -79,7 +79,7 @@
 	lw_bytebuf_append(b, s, strlen(s));
 }
 
-/* lw_bytebuf_append_str() - append a length-counted string. */
+/* lw_bytebuf_append_str() - append the bytes of @s. */
 void lw_bytebuf_append_str(lw_bytebuf_t *b, lw_str_t s)
 {
 	lw_bytebuf_append(b, s.ptr, s.len);
--- a/src/bytebuf.h
+++ b/src/bytebuf.h
@@ -1,4 +1,4 @@
-/* A growable byte queue: append at the end, consume from the front. */
+/* A growable byte queue: data is appended at the end and consumed from the front. */
 #ifndef LW_BYTEBUF_H
 #define LW_BYTEBUF_H
 
@@ -7,7 +7,7 @@
 
 #include "lwstr.h"
 
-/* Zeroed is empty. The bytes held are data + start .. data + end. */
+/* All zero is an empty queue. Its bytes are those from data + start up to data + end. */
 typedef struct lw_bytebuf {
 	char *data;
 	size_t start;
--- a/src/cli.c
+++ b/src/cli.c
@@ -1,4 +1,4 @@
-/* Command lines; see cli.h. */
+/* Options common to all programs; see cli.h. */
 #include "cli.h"
 
 #include <stdio.h>
@@ -7,7 +7,7 @@
 
 #define CLI_ERRORS_MAX 10
 
-/* lw_cli_new() - the options common to all; put them into the argtable. */
+/* lw_cli_new() - the common options, to be put into the argtable of program @prog. */
 lw_cli_t lw_cli_new(const char *prog)
 {
 	return (lw_cli_t){ .prog = prog,
@@ -17,9 +17,9 @@
 }
 
 /*
- * lw_cli_parse() - parse the command line into @table. --help and --version
- * are served here, also beside errors. Returns LW_CLI_RUN or the exit status:
- * 0 after those two, 2 when the command line is wrong.
+ * lw_cli_parse() - parse the command line into @table. Handles --help and
+ * --version, even if other arguments are wrong. Returns LW_CLI_RUN or the exit
+ * status: 0 after --help or --version, 2 for a wrong command line.
  */
 int lw_cli_parse(const lw_cli_t *cli, int argc, char **argv, void **table)
 {
--- a/src/cli.h
+++ b/src/cli.h
@@ -1,13 +1,13 @@
 /*
- * The part of a command line that every binary has: parsing by argtable2,
- * --help and --version.
+ * Command-line parsing common to all programs, by argtable2, with --help and
+ * --version.
  */
 #ifndef LW_CLI_H
 #define LW_CLI_H
 
 #include <argtable2.h>
 
-#define LW_CLI_RUN (-1) /* go on; any other value is the exit status */
+#define LW_CLI_RUN (-1) /* run the program; any other value is the exit status */
 
 typedef struct lw_cli {
 	const char *prog;
--- a/src/lwburn.c
+++ b/src/lwburn.c
@@ -1,11 +1,12 @@
 /*
- * lwburn: the service-level burn report. It reads the nodes' counters
- * (lwnode: lw_requests_total by service, class and outcome; lwproxy:
- * lw_route_requests_total by route, kind and outcome) a number of times and
- * prints, per service and class or route and kind, the error-budget burn rate over the last
- * interval (short window) and the whole run (long window): the share of
- * requests not done divided by the share the objective allows (the
- * multiwindow burn-rate alert of Google's SRE Workbook, ch. 5).
+ * lwburn: reports how fast services use up their error budgets. It reads the
+ * nodes' counters several times (lwnode: lw_requests_total by service, class
+ * and outcome; lwproxy: lw_route_requests_total by route, kind and outcome)
+ * and prints the burn rate per service and class, or per route and kind, over
+ * the last interval (short window) and the whole run (long window). The burn
+ * rate is the share of requests that were not done divided by the share that
+ * the objective allows (the multiwindow burn-rate alert of Google's SRE
+ * Workbook, ch. 5).
  * Output: a text table, optional CSV, optional PNG bar chart (cairo).
  */
 #include <cairo.h>
@@ -19,7 +20,7 @@
 #include "platconf.h"
 #include "xalloc.h"
 
-#define ROWS_MAX  1024 /* services times classes */
+#define ROWS_MAX  1024 /* services times classes, or routes times kinds */
 #define NODES_MAX 2048
 
 typedef struct row {
@@ -49,7 +50,7 @@
 	return !strcmp(o, "done") ? 0 : !strcmp(o, "not_run") ? 1 : !strcmp(o, "unknown") ? 2 : -1;
 }
 
-/* outcomes of lwproxy's routes; a caller that left is nobody's failure */
+/* outcomes of lwproxy's routes; requests whose caller left are not counted */
 static int route_outcome_index(const char *o)
 {
 	static const struct {
@@ -64,7 +65,7 @@
 	return -1;
 }
 
-/* Add one scrape of one node's /metrics text into @acc[row][outcome]. */
+/* add the counters in one node's /metrics text to @acc[row][outcome] */
 static void parse_metrics(const char *text, double acc[ROWS_MAX][3])
 {
 	const char *line = text;
@@ -114,7 +115,9 @@
 			parse_metrics(r.body, acc);
 			ok++;
 		} else {
-			fprintf(stderr, "lwburn: no metrics from %s; is the node up?\n", admins[i]);
+			fprintf(stderr,
+				"lwburn: no metrics from %s; check that the node is running\n",
+				admins[i]);
 		}
 		free(r.body);
 	}
@@ -147,7 +150,7 @@
 	cairo_set_source_rgb(cr, 0, 0, 0);
 	cairo_set_font_size(cr, 12);
 	cairo_move_to(cr, 10, 20);
-	cairo_show_text(cr, "error-budget burn rate, long window (1.0 = budget spent exactly)");
+	cairo_show_text(cr, "error-budget burn rate, long window (1.0 = exactly the budget)");
 	for (int i = 0; i < nrows; i++) {
 		double b = burn_rate(rows[i].first, rows[i].last, slo);
 		double bh = (h - 110) * b / maxb, x = 60 + 90.0 * i;
@@ -181,14 +184,14 @@
 {
 	lw_cli_t cli = lw_cli_new("lwburn");
 	struct arg_str *nodes =
-		arg_strn(NULL, "node", "ADMIN", 1, NODES_MAX, "a node's admin ip:port");
+		arg_strn(NULL, "node", "ADMIN", 1, NODES_MAX, "admin ip:port of a node");
 	struct arg_dbl *slo =
 		arg_dbl0(NULL, "slo", "RATIO", "objective, e.g. 0.999 (default 0.99)");
 	struct arg_int *interval =
 		arg_int0(NULL, "interval", "S", "seconds between reads (default 1)");
-	struct arg_int *samples = arg_int0(NULL, "samples", "N", "reads (default 2)");
-	struct arg_file *csv = arg_file0(NULL, "csv", "FILE", "also write CSV here");
-	struct arg_file *png = arg_file0(NULL, "plot", "FILE", "also draw a PNG bar chart here");
+	struct arg_int *samples = arg_int0(NULL, "samples", "N", "number of reads (default 2)");
+	struct arg_file *csv = arg_file0(NULL, "csv", "FILE", "also write the table as CSV");
+	struct arg_file *png = arg_file0(NULL, "plot", "FILE", "also write a PNG bar chart");
 	void *table[] = { cli.help, cli.version, nodes, slo, interval, samples, csv, png, cli.end };
 	int rc = lw_cli_parse(&cli, argc, argv, table);
 	static double acc[ROWS_MAX][3];
@@ -211,7 +214,7 @@
 		for (int i = 0; i < nrows; i++) {
 			row_t *r = &rows[i];
 
-			/* the long window starts at the nodes' start: counters begin at zero */
+			/* the long window begins when the nodes start, with counters at zero */
 			if (!r->seen)
 				memset(r->first, 0, sizeof(r->first));
 			memcpy(r->prev, r->seen ? r->last : acc[i], sizeof(r->prev));
--- a/src/lwctl.c
+++ b/src/lwctl.c
@@ -1,16 +1,17 @@
 /*
- * lwctl: the operators' client.
- *   lwctl check FILE            check a configuration document offline: presets, or the
- *                               platform's (JSON)
+ * lwctl: the command-line client for operators.
+ *   lwctl check FILE            check a configuration document offline: presets (TOML) or
+ *                               the platform's document (JSON)
  *   lwctl check-settings FILE   check a node settings file offline
- *   lwctl status ADMIN          preset, config version, limits, peers of a node
- *   lwctl metrics ADMIN         a node's counters
+ *   lwctl status ADMIN          print preset, config version, limits and peers of a node
+ *   lwctl metrics ADMIN         print the counters of a node
  *   lwctl drain ADMIN           start a graceful stop of a node
- *   lwctl explain ID LOG...     one request's story from nodes' logs ("-": standard input)
- *   lwctl events                the log event catalogue
- * ADMIN is the node's admin address, ip:port; of lwproxy the address of its
- * metrics. --json prints explain's story for programs. Exit status: 0 done, 1
- * the answer is no (a file is wrong, no line of the request), 2 wrong usage.
+ *   lwctl explain ID LOG...     trace one request through the logs of nodes ("-": standard input)
+ *   lwctl events                print the log event catalogue
+ * ADMIN is the admin address ip:port of the node, for lwproxy the address of
+ * its metrics. --json prints the result of explain as JSON. Exit status: 0 on
+ * success, 1 on a negative result (invalid file, no log line of the request),
+ * 2 on wrong usage.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -26,7 +27,7 @@
 #include "settings.h"
 #include "xalloc.h"
 
-/* most words after the command: the logs of a large fleet */
+/* most arguments of a command; allows for the logs of a large fleet */
 #define ARGS_MAX 4096
 
 static int read_file(const char *path, char **buf, size_t *len)
@@ -44,12 +45,12 @@
 }
 
 typedef struct args {
-	const char *const *operands; /* after the command */
+	const char *const *operands; /* arguments that follow the command */
 	int n;
 	bool json;
 } args_t;
 
-/* the platform's configuration, as it lies in its store */
+/* check the platform's configuration document, in the format of its store */
 static int check_document(const char *path, const char *text, size_t len)
 {
 	lw_fleetconf_t *fc;
@@ -92,7 +93,7 @@
 	return 0;
 }
 
-/* settings of lwproxy have a [host] table, those of lwnode do not */
+/* only settings of lwproxy have a [host] table */
 static bool is_proxy_settings(const char *path)
 {
 	char *buf = NULL;
@@ -213,7 +214,7 @@
 static const struct {
 	const char *name;
 	int (*run)(const args_t *a);
-	int min_operands; /* at least */
+	int min_operands;
 	const char *usage;
 } commands[] = {
 	{ "check", cmd_check, 1, "check FILE" },
@@ -246,8 +247,8 @@
 		arg_str0(NULL, NULL, "COMMAND",
 			 "check, check-settings, status, metrics, drain, explain, events");
 	struct arg_str *what = arg_strn(NULL, NULL, "ARG", 0, ARGS_MAX,
-					"FILE, node admin ip:port, or request id and logs");
-	struct arg_lit *json = arg_lit0(NULL, "json", "explain: print JSON");
+					"FILE, admin ip:port of a node, or request id and logs");
+	struct arg_lit *json = arg_lit0(NULL, "json", "print the result of explain as JSON");
 	void *table[] = { cli.help, cli.version, json, cmd, what, cli.end };
 	int rc = lw_cli_parse(&cli, argc, argv, table);
 	args_t a;
@@ -255,7 +256,7 @@
 	if (rc != LW_CLI_RUN)
 		return rc;
 	if (!cmd->count) {
-		fprintf(stderr, "lwctl: give a command; see 'lwctl --help'\n");
+		fprintf(stderr, "lwctl: missing command; see 'lwctl --help'\n");
 		return 2;
 	}
 	a = (args_t){ what->sval, what->count, json->count > 0 };
--- a/src/lwnode.c
+++ b/src/lwnode.c
@@ -1,7 +1,7 @@
 /*
- * lwnode: the process that runs beside each backend server. It reads its
- * settings file, lets command-line values override it, and runs the node
- * until SIGTERM, when it drains and exits.
+ * lwnode: the sidecar process of a backend server. It reads its settings
+ * file, applies overrides from the command line and runs the node until
+ * SIGTERM, upon which it drains and exits.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -20,7 +20,7 @@
 		snprintf(dst, LW_NAME_MAX, "%s", a->sval[0]);
 }
 
-/* until SIGTERM or SIGINT, or until a drain begun by `lwctl drain` is done */
+/* wait for SIGTERM or SIGINT, or for the end of a drain started by `lwctl drain` */
 static void wait_for_stop(lw_node_t *n, const sigset_t *set)
 {
 	const struct timespec second = { .tv_sec = 1 };
@@ -48,15 +48,19 @@
 		arg_str0(NULL, "service", "NAME", "service of the backend server");
 	struct arg_str *zone = arg_str0(NULL, "zone", "NAME", "availability zone of this host");
 	struct arg_str *listen =
-		arg_str0(NULL, "listen", "IP:PORT", "HTTP for callers and the backend");
-	struct arg_str *peer = arg_str0(NULL, "peer-listen", "IP:PORT", "frames from other nodes");
+		arg_str0(NULL, "listen", "IP:PORT", "HTTP address for callers and the backend");
+	struct arg_str *peer =
+		arg_str0(NULL, "peer-listen", "IP:PORT", "address for frames from other nodes");
 	struct arg_str *advertise =
 		arg_str0(NULL, "advertise", "IP:PORT", "this node's address in the host list");
-	struct arg_str *admin = arg_str0(NULL, "admin", "IP:PORT", "metrics, status and drain");
-	struct arg_str *backend = arg_str0(NULL, "backend", "IP:PORT", "the local backend server");
-	struct arg_int *slots = arg_int0(NULL, "slots", "N", "the backend server's slots");
+	struct arg_str *admin =
+		arg_str0(NULL, "admin", "IP:PORT", "address for metrics, status and drain");
+	struct arg_str *backend =
+		arg_str0(NULL, "backend", "IP:PORT", "address of the local backend server");
+	struct arg_int *slots =
+		arg_int0(NULL, "slots", "N", "requests that the backend server runs at once");
 	struct arg_str *cfgsvc =
-		arg_str0(NULL, "config-service", "IP:PORT", "configuration service");
+		arg_str0(NULL, "config-service", "IP:PORT", "address of the configuration service");
 	struct arg_str *policy =
 		arg_str0(NULL, "policy", "guard|naive", "reducer (naive: baseline)");
 	struct arg_str *level = arg_str0(NULL, "log-level", "LEVEL", "error..debug");
--- a/src/lwproxy.c
+++ b/src/lwproxy.c
@@ -1,7 +1,7 @@
 /*
- * lwproxy: the streaming node. It runs beside each backend server, takes the
- * requests that callers and the backend server make on its host, and carries
- * them to the nodes beside the servers that can run them.
+ * lwproxy: the streaming node, a sidecar process of a backend server. It
+ * accepts the requests that callers and the backend server send on its host
+ * and forwards them to the nodes of the servers that can execute them.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -18,7 +18,7 @@
 	if (!path)
 		return lw_error(
 			LW_ERR_ARGS,
-			"no settings file; name one with --config or let the platform do so");
+			"no settings file; name it with --config or in the platform's environment");
 	return lw_proxyset_load(path, set);
 }
 
@@ -29,7 +29,7 @@
 	struct arg_lit *check = arg_lit0(NULL, "check", "check the settings and exit");
 	void *table[] = { cli.help, cli.version, config, check, cli.end };
 	const char *path;
-	/* outlives main(): other threads use it while the process exits */
+	/* static, as other threads still use the settings while the process exits */
 	static lw_proxyset_t set;
 	int rc;
 
--- a/src/lwstr.c
+++ b/src/lwstr.c
@@ -1,11 +1,11 @@
-/* Length-counted strings. */
+/* Strings with an explicit length; see lwstr.h. */
 #include "lwstr.h"
 
 #include <string.h>
 
 #include "xalloc.h"
 
-/* lw_str_c() - view the NUL-terminated string @s; NULL gives an empty view. */
+/* lw_str_c() - a view of the NUL-terminated string @s; NULL gives an empty view. */
 lw_str_t lw_str_c(const char *s)
 {
 	lw_str_t r = { s ? s : "", s ? strlen(s) : 0 };
@@ -13,7 +13,7 @@
 	return r;
 }
 
-/* lw_str_eq() - true when @a and @b hold the same bytes. */
+/* lw_str_eq() - true when @a and @b have the same bytes. */
 bool lw_str_eq(lw_str_t a, lw_str_t b)
 {
 	return a.len == b.len && (a.len == 0 || memcmp(a.ptr, b.ptr, a.len) == 0);
@@ -32,8 +32,8 @@
 }
 
 /*
- * lw_str_copy() - copy @s into the fixed buffer @dst of @dstlen bytes,
- * cutting it short if needed; the result is always NUL-terminated.
+ * lw_str_copy() - copy @s into the buffer @dst of @dstlen bytes, truncated
+ * if it does not fit; the result is always NUL-terminated.
  */
 void lw_str_copy(char *dst, size_t dstlen, lw_str_t s)
 {
--- a/src/lwstr.h
+++ b/src/lwstr.h
@@ -1,4 +1,4 @@
-/* Length-counted strings: a pointer and a length, not NUL-terminated. */
+/* Strings with an explicit length: a pointer and a length, not NUL-terminated. */
 #ifndef LW_LWSTR_H
 #define LW_LWSTR_H
 
--- a/src/node.c
+++ b/src/node.c
@@ -1,8 +1,8 @@
 /*
- * The node: start, stop, and the way between threads and the reducer. Every
- * request is served by the thread that received it: it feeds events under
- * the node lock and waits on its condition variable for the effect that
- * concerns it.
+ * Start and stop of the node, and the exchange of events and effects between
+ * its threads and the reducer. The thread that received a request also serves
+ * it: the thread passes events to the reducer under the node lock and waits on
+ * the request's condition variable for the effect on this request.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -16,12 +16,12 @@
 #include "node_int.h"
 #include "xalloc.h"
 
-#define RECORDS_TICK_MS 500 /* expiry of records */
+#define RECORDS_TICK_MS 500 /* interval of the expiry of records */
 #define ALIVE_TICK_MS	100
-#define PAUSE_MIN_MS	500 /* a gap this long means the process was paused */
+#define PAUSE_MIN_MS	500 /* a timer gap of this length means that the process was paused */
 #define NAIVE_WORKERS	1024
-#define LINGER_QUIET_MS 300 /* after a drain: no caller came for so long */
-#define LINGER_MAX_MS	2000
+#define LINGER_QUIET_MS 300 /* after a drain: exit once no request has arrived for this time */
+#define LINGER_MAX_MS	2000 /* after a drain: exit at the latest after this time */
 #define WAIT_POLL_MS	5
 
 static void log_effect(lw_node_t *n, const lw_effect_t *fx)
@@ -93,7 +93,7 @@
 	c->retry_budget = e->retry_budget;
 }
 
-/* the request's thread gave up on it while it was queued: free its slot */
+/* the thread abandoned its request while the request was queued: free the slot */
 static void release_abandoned(lw_node_t *n, uint64_t id)
 {
 	lw_event_t ev = {
@@ -103,7 +103,7 @@
 	lw_node_step(n, &ev);
 }
 
-/* carry out one effect; called with the lock held */
+/* apply one effect; called with the node lock held */
 static void apply_effect(lw_node_t *n, const lw_effect_t *e)
 {
 	lw_call_t *c = NULL;
@@ -155,8 +155,8 @@
 }
 
 /*
- * lw_node_step() - feed @ev to the reducer and carry out its effects. The
- * node lock is held by the caller; the event's time is set here.
+ * lw_node_step() - pass @ev to the reducer and apply its effects. The caller
+ * holds the node lock; this function sets the event's time.
  */
 void lw_node_step(lw_node_t *n, lw_event_t *ev)
 {
@@ -169,7 +169,7 @@
 	lw_effects_free(&fx);
 }
 
-/* lw_node_call_open() - give @c an id and let effects find it; lock held. */
+/* lw_node_call_open() - assign an id to @c and register it for effects; lock held. */
 lw_call_t *lw_node_call_open(lw_node_t *n, lw_call_t *c)
 {
 	memset(c, 0, sizeof(*c));
@@ -180,14 +180,14 @@
 	return c;
 }
 
-/* lw_node_call_close() - no effect finds @c any more; lock held. */
+/* lw_node_call_close() - unregister @c: effects no longer reach it; lock held. */
 void lw_node_call_close(lw_node_t *n, lw_call_t *c)
 {
 	HASH_DEL(n->calls, c);
 	pthread_cond_destroy(&c->cond);
 }
 
-/* lw_node_load_permille() - in-flight work over the limit, for peers. */
+/* lw_node_load_permille() - running and queued requests per limit, in per mille; sent to peers. */
 uint32_t lw_node_load_permille(const lw_node_t *n)
 {
 	const lw_policy_info_t *in = &n->policy->info;
@@ -196,9 +196,10 @@
 }
 
 /*
- * lw_node_paused_ms() - how long the process was paused just now, or 0.
- * What waited in the sockets meanwhile has that much less time left: running
- * it in full would be work for callers that have given up.
+ * lw_node_paused_ms() - length in ms of a pause of the process that has just
+ * ended, or 0. Requests that waited in the sockets during the pause have that
+ * much less time left; executing them without the deduction would be work for
+ * callers that have already timed out.
  */
 uint32_t lw_node_paused_ms(lw_node_t *n)
 {
@@ -211,7 +212,7 @@
 	return (uint32_t)(now - alive);
 }
 
-/* lw_node_joined() - false while requests have to be refused: see heartbeat.c. */
+/* lw_node_joined() - false while the node has to reject requests; see heartbeat.c. */
 bool lw_node_joined(const lw_node_t *n)
 {
 	return __atomic_load_n(&n->joined, __ATOMIC_ACQUIRE) != 0;
@@ -256,14 +257,14 @@
 						      "calls of the local backend server", labels);
 	}
 	n->count.late_replies = lw_counter_new(
-		"lw_late_replies_total", "replies dropped because their caller was answered", "");
+		"lw_late_replies_total", "replies dropped: the caller had an answer already", "");
 	n->count.heartbeats = lw_counter_new("lw_heartbeats_total", "heartbeats sent to peers", "");
 	n->count.config_fetches =
 		lw_counter_new("lw_config_fetches_total", "configurations fetched from a peer", "");
 	n->count.control_bytes = lw_counter_new("lw_control_bytes_total",
-						"bytes of heartbeats and configuration", "");
+						"bytes of heartbeats and configurations", "");
 	n->count.late_wakes =
-		lw_counter_new("lw_late_wakes_total", "requests found after a pause", "");
+		lw_counter_new("lw_late_wakes_total", "requests read after a process pause", "");
 }
 
 static uint64_t new_incarnation(void)
@@ -279,7 +280,7 @@
 /*
  * lw_node_start() - start a node with settings @s: its HTTP, peer and
  * admin listeners, the configuration watch, heartbeats and timers.
- * LW_ERR_IO names the address that could not be bound.
+ * Returns LW_ERR_IO if an address cannot be bound; the message names it.
  */
 lw_status_t lw_node_start(const lw_settings_t *s, lw_node_t **out)
 {
@@ -297,7 +298,7 @@
 	lw_cond_init_monotonic(&n->config_cond);
 	n->policy = lw_policy_new(s->policy, s->zone, s->backend_slots, n->incarnation);
 	n->pool = lw_pool_new();
-	/* the baseline admits all, so nothing may hold its calls back here */
+	/* the baseline admits all requests, so the worker count must not limit its calls */
 	workers = strcmp(s->policy, "naive") == 0 ? NAIVE_WORKERS : s->backend_slots;
 	n->backend = lw_backend_new(s->backend, workers, lw_inbound_backend_done, n);
 	make_counters(n);
@@ -308,7 +309,7 @@
 	if ((st = lw_peersrv_start(n)) ||
 	    (st = lw_httpd_start(s->listen, lw_inbound_http, n, &n->http)) ||
 	    (st = lw_httpd_start(s->admin, lw_adminpage_http, n, &n->admin)))
-		return st; /* the process exits: nothing to undo */
+		return st; /* the process exits, so nothing is released */
 	lw_confwatch_start(n);
 	lw_heartbeat_start(n);
 	lw_log(LW_LOG_started, "service=%s zone=%s listen=%s peer=%s admin=%s backend=%s policy=%s",
@@ -317,7 +318,7 @@
 	return LW_OK;
 }
 
-/* lw_node_drain() - refuse new work with not_run+draining; finish the rest. */
+/* lw_node_drain() - reject new requests with not_run+draining; finish those in progress. */
 void lw_node_drain(lw_node_t *n)
 {
 	lw_event_t ev = { .kind = LW_EV_DRAIN };
@@ -331,7 +332,7 @@
 		lw_heartbeat_tell_callers(n);
 }
 
-/* lw_node_drained() - true when a drain, once started, has nothing left to do. */
+/* lw_node_drained() - true once a drain was started and no request is in progress. */
 bool lw_node_drained(lw_node_t *n)
 {
 	bool ready;
@@ -339,12 +340,12 @@
 	pthread_mutex_lock(&n->lock);
 	ready = n->exit_ready;
 	pthread_mutex_unlock(&n->lock);
-	/* an answer that is not on the wire yet would be cut off by exiting */
+	/* exiting would truncate an answer that has not been sent completely */
 	return ready && __atomic_load_n(&n->serving, __ATOMIC_ACQUIRE) == 0 &&
 	       lw_httpd_active(n->http) == 0;
 }
 
-/* no caller has sent a request for a while, nor is one being answered */
+/* LINGER_QUIET_MS have passed since the drain ended and since the last request began */
 static bool callers_quiet(lw_node_t *n, uint64_t drained_at, uint64_t now)
 {
 	uint64_t last = lw_httpd_last_ms(n->http);
@@ -354,10 +355,11 @@
 
 /*
  * lw_node_wait() - wait until a drain has finished or the drain timeout has
- * passed. Finished means: every request read has its answer on the wire, and
- * callers have stopped coming, or had LINGER_MAX_MS to hear "not run" and to
- * see their kept connections closed in good order. A request that meets the
- * exit on a kept connection would be one nobody can answer for.
+ * passed. The drain has finished when every request that was read has its
+ * answer sent, and callers have stopped sending requests or have had
+ * LINGER_MAX_MS to receive "not run" and an orderly close of their persistent
+ * connections. A request that arrives on a persistent connection while the
+ * process exits would have an unknown outcome.
  * Returns 0 when drained, 1 on timeout.
  */
 int lw_node_wait(lw_node_t *n)
@@ -387,5 +389,5 @@
 	lw_timer_stop(n->timer);
 	lw_httpd_stop(n->http);
 	close(n->peer_fd);
-	/* threads in long polls and idle connections are ended by exit() */
+	/* exit() ends the threads in long polls and on idle connections */
 }
--- a/src/node_int.h
+++ b/src/node_int.h
@@ -1,8 +1,8 @@
 /*
- * What the parts of the node share: its state, and the way to feed an event
- * to the reducer. The parts: inbound.c and outbound.c (requests), peersrv.c
- * (frames from peers), heartbeat.c (membership), confwatch.c (configuration),
- * adminpage.c (operators). Only node.c starts and stops them.
+ * State and functions shared by the modules of the node: inbound.c and
+ * outbound.c (requests), peersrv.c (frames from peers), heartbeat.c
+ * (membership), confwatch.c (configuration) and adminpage.c (operators).
+ * node.c starts and stops them.
  */
 #ifndef LW_NODE_INT_H
 #define LW_NODE_INT_H
@@ -31,17 +31,17 @@
 	LW_CALL_ANSWERED,
 } lw_call_state_t;
 
-/* the reducer's verdict on one request, filled in by the effects */
+/* the reducer's decision about one request, filled in from its effects */
 typedef struct lw_result {
 	lw_outcome_t outcome;
 	lw_reason_t reason;
 	uint32_t retry_after_ms;
 	uint32_t retries_used;
 	bool no_retry;
-	lw_answer_t *answer; /* done: a reference the holder releases */
+	lw_answer_t *answer; /* when done: a counted reference; the owner of the result drops it */
 } lw_result_t;
 
-/* a request in hand, on the stack of the thread that serves it */
+/* a request in progress; lives on the stack of the thread that serves it */
 typedef struct lw_call {
 	uint64_t id;
 	lw_call_state_t state;
@@ -52,7 +52,7 @@
 	UT_hash_handle hh;
 } lw_call_t;
 
-/* a node that lately sent us requests: told at once when we drain */
+/* a node that sent requests recently; a drain is announced to it immediately */
 typedef struct lw_caller {
 	char addr[LW_NAME_MAX];
 	uint64_t seen_ms;
@@ -71,18 +71,18 @@
 
 struct lw_node {
 	lw_settings_t set;
-	uint64_t incarnation; /* this start of the process; never 0 */
+	uint64_t incarnation; /* identifies this start of the process; never 0 */
 	pthread_mutex_t lock; /* policy, calls, callers */
 	lw_policy_t *policy;
 	lw_call_t *calls;
 	lw_caller_t *callers;
 	uint64_t next_id;
-	lw_record_state_t query_state; /* effect of the last QUERY event */
+	lw_record_state_t query_state; /* result of the last QUERY event */
 	lw_answer_t *query_answer;
-	lw_platconf_t *config; /* RCU-protected; swapped whole */
-	pthread_mutex_t config_lock; /* one writer at a time */
+	lw_platconf_t *config; /* RCU-protected; replaced as a whole */
+	pthread_mutex_t config_lock; /* serialises writers of config */
 	pthread_cond_t config_cond;
-	char config_hint[LW_NAME_MAX]; /* a peer that holds a newer version */
+	char config_hint[LW_NAME_MAX]; /* address of a peer that has a newer version */
 	bool config_fetching;
 	lw_backend_t *backend;
 	lw_pool_t *pool;
@@ -90,11 +90,12 @@
 	int tick_sub;
 	lw_httpd_t *http, *admin;
 	int peer_fd;
-	uint64_t last_alive_ms; /* set by the timer service: a gap is a pause */
-	int serving; /* requests read and not yet answered on the wire */
+	uint64_t
+		last_alive_ms; /* updated by the timer thread; a gap means the process was paused */
+	int serving; /* requests that were read and whose answer has not been sent yet */
 	int stopping;
 	bool exit_ready;
-	int joined; /* requests are taken; see heartbeat.c */
+	int joined; /* requests are accepted; see heartbeat.c */
 	lw_node_counters_t count;
 };
 
--- a/src/version.h
+++ b/src/version.h
@@ -1,4 +1,4 @@
-/* The version every binary prints with --version. */
+/* The version that every program prints with --version. */
 #ifndef LW_VERSION_H
 #define LW_VERSION_H
 
