--- a/src/lwsim.c
+++ b/src/lwsim.c
@@ -1,9 +1,9 @@
 /*
- * lwsim: an experiment tool. It plays a load on a model of a fleet in virtual
- * time, with the decision modules of lwproxy as they are (placement, queue,
- * admission, levels, retries, time to come back) against modelled servers.
- * The same settings and seed give the same figures, so that an idea can be
- * tried in a second and a gain kept as a test.
+ * lwsim: simulates a load on a fleet in virtual time. It runs the decision
+ * modules of lwproxy unchanged (placement, queue, admission, admission levels,
+ * retries, retry-after delay) against modelled servers. The same settings and
+ * seed give the same results, so that a change can be tried in a second and
+ * its gain can be kept as a test.
  */
 #include <math.h>
 #include <stdio.h>
@@ -49,17 +49,17 @@
 {
 	lw_cli_t cli = lw_cli_new("lwsim");
 	struct arg_file *file = arg_file1(NULL, NULL, "FILE", "deployment and load (TOML)");
-	struct arg_int *seed = arg_int0("s", "seed", "N", "seed of the random numbers (1)");
-	struct arg_str *policy =
-		arg_str0("p", "policy", "NAME", "full, spread, no-levels, fifo or naive (full)");
+	struct arg_int *seed = arg_int0("s", "seed", "N", "random seed (default 1)");
+	struct arg_str *policy = arg_str0("p", "policy", "NAME",
+					  "full, spread, no-levels, fifo or naive (default full)");
 	struct arg_str *without = arg_strn(NULL, "without", "NAME", 0, LW_SIM_MECHANISMS,
-					   "switch a mechanism off: levels, objective-order, "
+					   "disable a mechanism: levels, objective-order, "
 					   "weighed-ranks, lowest-ranks, resends, inherited-rank, "
 					   "knee-margin");
-	struct arg_dbl *burst = arg_dbl0("b", "burst", "X", "times the load during the burst");
-	struct arg_lit *seconds =
-		arg_lit0(NULL, "seconds", "print requests asked and in target by second");
-	struct arg_file *plot = arg_file0(NULL, "plot", "PNG", "draw goodput by second");
+	struct arg_dbl *burst = arg_dbl0("b", "burst", "X", "factor on the load during the burst");
+	struct arg_lit *seconds = arg_lit0(
+		NULL, "seconds", "print user requests sent and answered in time by second");
+	struct arg_file *plot = arg_file0(NULL, "plot", "PNG", "plot goodput by second");
 	void *table[] = { cli.help, cli.version, file,	  seed, policy,
 			  without,  burst,	 seconds, plot, cli.end };
 	int rc = lw_cli_parse(&cli, argc, argv, table);
--- a/src/simfleet.c
+++ b/src/simfleet.c
@@ -1,11 +1,12 @@
 /*
- * The model behind lwsim. Each server has a node with the real queue,
- * admission and level; each node places the requests that begin on it with
- * the real placement and hears loads with answers only. Modelled: slots,
- * speeds, slowing down when nearly full, calls one after the other, deadlines,
- * callers that come back. Not modelled: the network's limits, connections,
- * processor time of the nodes, and faults other than a slow server and
- * servers that shed at random.
+ * The fleet model of lwsim. Each server has a node that uses lwproxy's code
+ * for the queue, admission and admission level. A node uses lwproxy's placement
+ * for the requests that it receives first, and learns the load of other nodes
+ * from answers only. Modelled are slots, server speeds, the slowdown of nearly
+ * full servers, sequential nested calls, deadlines and callers that retry
+ * after a rejection. Not modelled are network capacity, connections, processor
+ * time of the nodes, and faults other than a slow server and servers that shed
+ * requests at random.
  */
 #include <math.h>
 #include <stdio.h>
@@ -17,9 +18,9 @@
 #include "simfleet_int.h"
 #include "xalloc.h"
 
-/* when a refused caller comes back if no server said better, ms, as in exchange.c */
+/* retry-after delay for rejected callers if no server announced one, ms, as in lwproxy */
 #define RETRY_AFTER_DEFAULT_MS 250
-/* first guess of a node's service time, us, as in gate.c */
+/* initial value of a node's average service time, us, as in gate.c */
 #define SERVICE_FIRST_US 50000
 #define LATENCIES_MAX	 200000
 
@@ -67,7 +68,7 @@
 	return q;
 }
 
-/* a request that is not a repeat sets out */
+/* send the first attempt of a request */
 static void send_first(run_t *r, req_t *q)
 {
 	lw_place_service_t *s = lw_place_service(&q->origin->place, q->kind->service);
@@ -89,7 +90,7 @@
 	send_first(r, c);
 }
 
-/* whoever waits for the request hears its outcome */
+/* pass the outcome of a request to its parent, or count it; a rejected user may try again */
 static void finish(run_t *r, req_t *q, bool good, bool refused, uint32_t retry_after_ms)
 {
 	lw_sim_count_t *c = &q->kind->count;
@@ -179,7 +180,7 @@
 	};
 	bool yes;
 
-	/* as if all ranks of a priority were one */
+	/* without the mechanism all requests of a priority are treated alike */
 	if (!lw_sim_has_mechanism(r->sim, LW_SIM_LOWEST_RANKS))
 		at.rank -= at.rank % LW_RANKS_PER_PRIORITY;
 	yes = lw_retrylimit_take(&q->host->service->retries, &r->terms, &at, r->now);
@@ -261,7 +262,7 @@
 	send_to_node(r, q);
 }
 
-/* once more to the server that shed it */
+/* send a call again to the server that shed it */
 static void resend(run_t *r, req_t *q)
 {
 	q->attempts.resent++;
@@ -409,7 +410,7 @@
 	free(sl.servers);
 }
 
-/* lw_sim_run() - play the load once with @seed; counts are in @s afterwards. */
+/* lw_sim_run() - simulate the load once with random @seed; the counts are left in @s. */
 void lw_sim_run(lw_sim_t *s, uint64_t seed)
 {
 	run_t *r = xcalloc(1, sizeof(*r));
--- a/src/simfleet_int.h
+++ b/src/simfleet_int.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the model only; others use simfleet.h. */
+/* Internals of the fleet model, shared by simfleet.c and simserver.c; see simfleet.h. */
 #ifndef LW_SIMFLEET_INT_H
 #define LW_SIMFLEET_INT_H
 
@@ -16,7 +16,7 @@
 typedef struct run run_t;
 typedef struct req req_t;
 
-/* a server and the node beside it */
+/* a server and its node */
 typedef struct sim_node {
 	uint32_t service;
 	uint32_t index;
@@ -24,41 +24,41 @@
 	uint32_t limit;
 	uint32_t slots;
 	double speed;
-	double service_us;
+	double service_us; /* moving average of the service time */
 	lw_waitq_t queue;
 	lw_level_t level;
-	lw_place_t place; /* what this node knows of the others */
-	lw_hotpath_t *hot;
+	lw_place_t place; /* state of the other nodes as known here */
+	lw_hotpath_t *hot; /* overload of the services on the call paths */
 	char id[LW_NAME_MAX];
 } sim_node_t;
 
-/* one request, of a user or a call, with its attempt under way */
+/* a user request or a nested call, with its current attempt */
 struct req {
-	lw_waiter_t waiter; /* first, so that a waiter is its request */
+	lw_waiter_t waiter; /* first member, so that a waiter can be cast to its request */
 	lw_sim_kind_t *kind;
 	req_t *parent;
-	sim_node_t *origin; /* node where it began */
-	sim_node_t *at; /* node that runs it */
+	sim_node_t *origin; /* node that received the request first */
+	sim_node_t *at; /* node to which the current attempt was sent */
 	lw_place_host_t *host;
 	lw_place_tried_t tried;
 	lw_attempts_t attempts;
 	uint32_t rank;
-	uint64_t first_us; /* the user's first try */
+	uint64_t first_us; /* time of the user's first try */
 	uint64_t begun_us;
-	uint64_t give_up_us;
-	uint64_t target_us; /* when the user request misses its objective */
+	uint64_t give_up_us; /* time at which the caller times out */
+	uint64_t target_us; /* time after which the user request misses its objective */
 	uint64_t queued_us;
 	uint64_t started_us;
-	uint32_t tries_left;
-	uint32_t calls_left;
-	uint32_t above;
-	double work_done_ms; /* at servers, calls included */
-	lw_hots_t hots;
-	uint32_t depth;
-	uint32_t retry_used; /* per mille of the repeats allowed that its calls use */
+	uint32_t tries_left; /* by the user */
+	uint32_t calls_left; /* nested calls not made yet */
+	uint32_t above; /* number of requests above it in the call tree */
+	double work_done_ms; /* at servers, including nested calls */
+	lw_hots_t hots; /* overloaded services on its call path */
+	uint32_t depth; /* levels of nested calls below it */
+	uint32_t retry_used; /* use of the retry allowance by its calls, per mille */
 	bool queued;
 	bool call_failed;
-	bool finished; /* answered to whoever waits */
+	bool finished; /* its caller or parent has the outcome */
 };
 
 struct run {
--- a/src/simload.c
+++ b/src/simload.c
@@ -1,4 +1,4 @@
-/* Reading the deployment and load of lwsim from TOML. */
+/* Reads the deployment and load of lwsim from a TOML file. */
 #include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -91,7 +91,7 @@
 			call |= strcmp(s->kinds[k].name, s->kinds[i].call) == 0;
 		if (!service || !call)
 			return lw_error(LW_ERR_SETTINGS,
-					"%s: kind '%s' names an unknown service or call; define it",
+					"%s: kind '%s' has an undefined service or call; define it",
 					path, s->kinds[i].name);
 	}
 	return LW_OK;
@@ -104,7 +104,7 @@
 	const lw_toml_node_t *root, *list;
 
 	if (!doc)
-		return lw_error(LW_ERR_SETTINGS, "%s: not TOML: %s; fix the syntax there", path,
+		return lw_error(LW_ERR_SETTINGS, "%s: invalid TOML: %s; correct the syntax", path,
 				err);
 	root = lw_toml_root(doc);
 	s->length_s = number(root, "length_s", 30);
@@ -128,7 +128,7 @@
 	return check(path, s);
 }
 
-/* lw_sim_load() - a deployment from the TOML file at @path. */
+/* lw_sim_load() - read a deployment and its load from the TOML file at @path. */
 lw_status_t lw_sim_load(const char *path, lw_sim_t **out)
 {
 	FILE *f = fopen(path, "rb");
@@ -137,7 +137,7 @@
 	lw_status_t st;
 
 	if (!f)
-		return lw_error(LW_ERR_SETTINGS, "%s: cannot open: %s; give the right path", path,
+		return lw_error(LW_ERR_SETTINGS, "%s: cannot open: %s; check the path", path,
 				strerror(errno));
 	buf = xmalloc(FILE_MAX_BYTES);
 	len = fread(buf, 1, FILE_MAX_BYTES, f);
@@ -150,7 +150,7 @@
 	return st;
 }
 
-/* lw_sim_set_without() - switch off the mechanism @name. */
+/* lw_sim_set_without() - disable the mechanism @name. */
 lw_status_t lw_sim_set_without(lw_sim_t *s, const char *name)
 {
 	static const char *const names[LW_SIM_MECHANISMS] = {
@@ -169,10 +169,10 @@
 			name);
 }
 
-/* lw_sim_has() - whether the policy that is played has mechanism @m. */
+/* lw_sim_has_mechanism() - whether the selected policy has mechanism @m and it is enabled. */
 bool lw_sim_has_mechanism(const lw_sim_t *s, lw_sim_mechanism_t m)
 {
-	/* the last policy that has it */
+	/* policies are ordered: all up to this one have the mechanism */
 	static const lw_sim_policy_t last[LW_SIM_MECHANISMS] = {
 		[LW_SIM_LEVELS] = LW_SIM_SPREAD,      [LW_SIM_OBJECTIVE_ORDER] = LW_SIM_NO_LEVELS,
 		[LW_SIM_WEIGHED_RANKS] = LW_SIM_FULL, [LW_SIM_LOWEST_RANKS] = LW_SIM_FULL,
@@ -183,7 +183,7 @@
 	return !s->without[m] && s->policy <= last[m];
 }
 
-/* lw_sim_set_policy() - which of the policies is played. */
+/* lw_sim_set_policy() - select the policy @name. */
 lw_status_t lw_sim_set_policy(lw_sim_t *s, const char *name)
 {
 	static const char *const names[] = { "full", "spread", "no-levels", "fifo", "naive" };
--- a/src/simplot.c
+++ b/src/simplot.c
@@ -1,4 +1,4 @@
-/* Drawing a run of lwsim with cairo; see simplot.h. */
+/* Plots a simulation run of lwsim with cairo; see simplot.h. */
 #include "simplot.h"
 
 #include <cairo.h>
@@ -39,10 +39,11 @@
 	cairo_move_to(c, WIDTH - MARGIN, HEIGHT - MARGIN / 2.0);
 	cairo_show_text(c, label);
 	cairo_move_to(c, MARGIN, MARGIN / 2.0);
-	cairo_show_text(c, "user requests asked (grey) and answered in target (blue), by second");
+	cairo_show_text(
+		c, "user requests sent (grey) and answered within the objective (blue), by second");
 }
 
-/* lw_sim_plot() - write asked and good user requests by second to a PNG file. */
+/* lw_sim_plot() - plot user requests sent and answered in time, by second, to a PNG file. */
 lw_status_t lw_sim_plot(const lw_sim_t *s, const char *path)
 {
 	cairo_surface_t *surface = cairo_image_surface_create(CAIRO_FORMAT_RGB24, WIDTH, HEIGHT);
@@ -65,7 +66,7 @@
 	cairo_destroy(c);
 	cairo_surface_destroy(surface);
 	if (st)
-		return lw_error(LW_ERR_IO, "%s: %s; choose a path that can be written", path,
+		return lw_error(LW_ERR_IO, "%s: %s; use a writable path", path,
 				cairo_status_to_string(st));
 	return LW_OK;
 }
--- a/src/simplot.h
+++ b/src/simplot.h
@@ -1,4 +1,4 @@
-/* A picture of a run of lwsim. */
+/* Plot of a simulation run of lwsim as a PNG image. */
 #ifndef LW_SIMPLOT_H
 #define LW_SIMPLOT_H
 
--- a/src/simqueue.c
+++ b/src/simqueue.c
@@ -1,4 +1,4 @@
-/* A binary heap of events; see simqueue.h. */
+/* Event queue as a binary heap; see simqueue.h. */
 #include "simqueue.h"
 
 #include <stdlib.h>
@@ -22,8 +22,8 @@
 }
 
 /*
- * lw_simqueue_push() - an event at @at_us. The result may be filled in until
- * the next push; its time must stay.
+ * lw_simqueue_push() - add an event at time @at_us. The caller may fill in the
+ * returned event until the next push, but must not change its time.
  */
 lw_simevent_t *lw_simqueue_push(lw_simqueue_t *q, lw_simevent_kind_t kind, uint64_t at_us)
 {
@@ -44,7 +44,7 @@
 	return &q->heap[i];
 }
 
-/* lw_simqueue_pop() - take out the earliest event; there must be one. */
+/* lw_simqueue_pop() - remove and return the earliest event; the queue must not be empty. */
 lw_simevent_t lw_simqueue_pop(lw_simqueue_t *q)
 {
 	lw_simevent_t first = q->heap[0];
@@ -66,7 +66,7 @@
 	return first;
 }
 
-/* lw_simqueue_free() - release what the queue holds. */
+/* lw_simqueue_free() - release the memory; the queue is empty afterwards. */
 void lw_simqueue_free(lw_simqueue_t *q)
 {
 	free(q->heap);
--- a/src/simresult.c
+++ b/src/simresult.c
@@ -1,4 +1,4 @@
-/* Figures of a run of the model; see simfleet.h. */
+/* Statistics of a simulation run; see simfleet.h. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,7 +10,7 @@
 	return *(const uint16_t *)a - *(const uint16_t *)b;
 }
 
-/* lw_sim_percentile() - latency in ms below which @part of the answers lie. */
+/* lw_sim_percentile() - latency in ms that the share @part of the answers does not exceed. */
 uint32_t lw_sim_percentile(const lw_sim_kind_t *k, double part)
 {
 	uint16_t *sorted;
@@ -26,7 +26,7 @@
 	return v;
 }
 
-/* lw_sim_goodput() - share of the user requests answered in target. */
+/* lw_sim_goodput() - share of the user requests answered within their objective. */
 double lw_sim_goodput(const lw_sim_t *s)
 {
 	uint32_t asked = 0, good = 0;
@@ -44,7 +44,7 @@
 	return s->total.spent_ms > 0 ? 1 - s->total.useful_ms / s->total.spent_ms : 0;
 }
 
-/* lw_sim_bottleneck() - use of the busiest service's slots during the burst. */
+/* lw_sim_bottleneck() - utilisation of the busiest service's slots during the burst. */
 double lw_sim_bottleneck(const lw_sim_t *s)
 {
 	double peak = 0;
@@ -62,7 +62,7 @@
 	return peak;
 }
 
-/* lw_sim_recovery_s() - from the end of the burst until 95% are in target again. */
+/* lw_sim_recovery_s() - seconds from the end of the burst until 95% meet their objective again. */
 double lw_sim_recovery_s(const lw_sim_t *s)
 {
 	uint32_t end = (uint32_t)(s->burst_at_s + s->burst_for_s);
--- a/src/simserver.c
+++ b/src/simserver.c
@@ -1,6 +1,6 @@
 /*
- * The model's servers and the nodes beside them: admission, queue, work. The
- * decisions are the real ones.
+ * Servers of the fleet model and their nodes: admission, queue and work.
+ * Admission and queue use lwproxy's own decision modules.
  */
 #include <math.h>
 #include <string.h>
@@ -8,11 +8,11 @@
 #include "admit.h"
 #include "simfleet_int.h"
 
-/* useful wait before a server, percent of the target, as in exchange.c */
+/* longest useful wait in a server's queue, percent of the latency objective, as in lwproxy */
 #define QUEUE_NEW_PERCENT 35
-/* weight of a run in a node's average service time, as in gate.c */
+/* weight of one request in a node's average service time, as in gate.c */
 #define SERVICE_EWMA 0.05
-/* work spreads around its mean by this (log-normal sigma) */
+/* spread of the work around its mean: sigma of a log-normal distribution */
 #define WORK_SIGMA 0.3
 
 /* lw_sim_random() - 64 random bits (xorshift64*). */
@@ -24,7 +24,7 @@
 	return r->rng * 2685821657736338717ULL;
 }
 
-/* lw_sim_random01() - a random number between 0 and 1, never either. */
+/* lw_sim_random01() - a random number between 0 and 1, both excluded. */
 double lw_sim_random01(run_t *r)
 {
 	return ((lw_sim_random(r) >> 11) + 0.5) / 9007199254740992.0;
@@ -37,7 +37,7 @@
 	return k->work_ms * exp(WORK_SIGMA * normal - WORK_SIGMA * WORK_SIGMA / 2);
 }
 
-/* lw_sim_push() - an event of @q at @at_us. */
+/* lw_sim_push() - add an event of request @q at time @at_us. */
 lw_simevent_t *lw_sim_push(run_t *r, lw_simevent_kind_t kind, uint64_t at_us, req_t *q)
 {
 	lw_simevent_t *e = lw_simqueue_push(&r->events, kind, at_us);
@@ -46,7 +46,7 @@
 	return e;
 }
 
-/* lw_sim_load_of() - what a node tells of its server. */
+/* lw_sim_node_load() - the load of its server that a node reports in answers. */
 void lw_sim_node_load(const sim_node_t *n, lw_load_t *out)
 {
 	memset(out, 0, sizeof(*out));
@@ -57,7 +57,7 @@
 	out->level = n->level.level;
 }
 
-/* lw_sim_send_answer() - the outcome of @q, on its way to where it began. */
+/* lw_sim_send_answer() - send the outcome of @q to the node where the request began. */
 void lw_sim_send_answer(run_t *r, req_t *q, lw_fail_t why, bool server_failed,
 			uint32_t retry_after_ms)
 {
@@ -75,13 +75,13 @@
 	e->load.call_failed = q->call_failed;
 }
 
-/* lw_sim_left_ms() - what the request's caller still waits. */
+/* lw_sim_remaining_ms() - time until the caller of the request times out, ms. */
 uint32_t lw_sim_remaining_ms(const run_t *r, const req_t *q)
 {
 	return q->give_up_us > r->now ? (uint32_t)((q->give_up_us - r->now) / 1000) : 0;
 }
 
-/* own work of a request: slower when the server is nearly full */
+/* start the server's own work on a request; it takes longer when the server is nearly full */
 static void start_work(run_t *r, req_t *q)
 {
 	sim_node_t *n = q->at;
@@ -109,7 +109,7 @@
 
 static void dispatch(run_t *r, sim_node_t *n);
 
-/* lw_sim_at_node() - a request reaches the node beside its server. */
+/* lw_sim_at_node() - a request reaches the node of its server: admit and queue it, or reject it. */
 void lw_sim_at_node(run_t *r, req_t *q)
 {
 	sim_node_t *n = q->at;
@@ -141,7 +141,7 @@
 	dispatch(r, n);
 }
 
-/* a server that sheds turns requests away at random, however little it has to do */
+/* the injected fault: shed a request at random, independent of the server's load */
 static bool shed(run_t *r, req_t *q)
 {
 	const lw_sim_t *s = r->sim;
@@ -169,7 +169,7 @@
 	}
 }
 
-/* lw_sim_run_over() - a server has answered; the next request may start. */
+/* lw_sim_complete_run() - the server has answered @q; start the next request in its queue. */
 void lw_sim_complete_run(run_t *r, req_t *q, bool server_failed)
 {
 	sim_node_t *n = q->at;
