--- a/src/lwload.c
+++ b/src/lwload.c
@@ -1,13 +1,13 @@
 /*
- * lwload: the load and experiment tool. Open-loop arrivals (Poisson) of a
- * mix of routes sent to the nodes of their services, by clients that retry
- * hard if told to; an optional surge multiplies the sheddable routes' rate.
- * It prints per route "N done, N not_run, N unknown", goodput, latency
- * percentiles and the recovery time, and can write a history file:
+ * lwload: the load generator. It sends a mix of routes to the nodes of their
+ * services with open-loop (Poisson) arrivals. Clients can retry aggressively,
+ * and an optional surge multiplies the rate of sheddable routes. lwload prints
+ * "N done, N not_run, N unknown" per route, goodput, latency percentiles and
+ * the recovery time, and can write a history file:
  *   invoke ID ROUTE KEY T_MS
  *   complete ID OUTCOME STATUS T_MS ATTEMPTS REASON
- * Latency and deadline count from the time a request was due, not from when
- * a free client took it up: a saturated client must not hide the wait.
+ * Latency and deadline are measured from the time a request was due, not from
+ * when a free client sent it, so that saturated clients do not hide the wait.
  */
 #include <math.h>
 #include <pthread.h>
@@ -29,7 +29,7 @@
 
 static int parse_mix(const char *spec)
 {
-	/* service/name:weight[!][~] ; ! = keyed (not idempotent), ~ = sheddable */
+	/* service/name:weight[!][~], where ! is keyed (not idempotent) and ~ sheddable */
 	char *s = xstrdup(spec), *tok, *save;
 
 	for (tok = strtok_r(s, ",", &save); tok && load_run.nroutes < ROUTES_MAX;
@@ -38,7 +38,7 @@
 		char *slash = strchr(tok, '/'), *colon = strchr(tok, ':');
 
 		if (!slash || !colon || colon < slash) {
-			fprintf(stderr, "lwload: --mix item '%s' is not service/name:weight\n",
+			fprintf(stderr, "lwload: --mix item '%s' must be service/name:weight\n",
 				tok);
 			free(s);
 			return -1;
@@ -59,7 +59,7 @@
 	const char *eq = strchr(spec, '=');
 
 	if (!eq || load_run.ntargets == TARGETS_MAX) {
-		fprintf(stderr, "lwload: --node wants SERVICE=IP:PORT, got '%s'\n", spec);
+		fprintf(stderr, "lwload: --node must be SERVICE=IP:PORT, got '%s'\n", spec);
 		return -1;
 	}
 	snprintf(load_run.targets[load_run.ntargets].service, LW_NAME_MAX, "%.*s", (int)(eq - spec),
@@ -82,7 +82,7 @@
 {
 	pthread_mutex_lock(&load_run.lock);
 	if (load_run.qlen == load_run.qcap) {
-		load_run.dropped++; /* the client side is saturated: counted, not hidden */
+		load_run.dropped++; /* the clients are saturated; the report shows it */
 	} else {
 		load_run.queue[(load_run.qhead + load_run.qlen) % load_run.qcap] = j;
 		load_run.qlen++;
@@ -204,7 +204,7 @@
 
 static void check_own_answer(const lw_http_reply_t *rep, const char *user_id)
 {
-	/* the stand-in echoes the request id */
+	/* lwstub-backend returns the request id in the body */
 	if (rep->body && strstr(rep->body, user_id))
 		return;
 	pthread_mutex_lock(&load_run.lock);
@@ -223,7 +223,7 @@
 	uint64_t deadline_at = j->due_ms + load_run.deadline_ms;
 	request_result_t v = { .outcome = LW_NOT_RUN };
 
-	/* keys must not repeat across runs, or a node replays an earlier run's answer */
+	/* keys are unique to a run, or a node would replay the answer of an earlier run */
 	snprintf(h[1].value, sizeof(h[1].value), "u%s-%llu", load_run.run,
 		 (unsigned long long)j->id);
 	snprintf(h[3].value, sizeof(h[3].value), "k%s-%llu", load_run.run,
@@ -236,7 +236,7 @@
 			(unsigned long long)(j->due_ms - load_run.t0));
 		pthread_mutex_unlock(&load_run.lock);
 	}
-	/* a hard-retrying client: it ignores Retry-After, as the brief's clients do */
+	/* an aggressive client: it retries immediately and ignores Retry-After */
 	while (v.attempts <= load_run.client_retries) {
 		lw_httpc_t *c = client_for(cache, r->service, j->id + (uint64_t)v.attempts);
 		uint64_t now = lw_now_ms();
@@ -254,14 +254,14 @@
 		snprintf(v.reason, sizeof(v.reason), "%s", rep.fail ? "no_answer" : rep.reason);
 		if (v.outcome == LW_DONE)
 			check_own_answer(&rep, h[1].value);
-		/* it may have run: from here on it is a repeat, and says so */
+		/* the request may have been executed: mark all further attempts as retries */
 		if (v.outcome == LW_UNKNOWN)
 			snprintf(h[2].value, sizeof(h[2].value), "1");
 		free(rep.body);
 		if (v.outcome == LW_DONE)
 			break;
 	}
-	/* refused in the end, but an earlier attempt may have run */
+	/* the last attempt was rejected, but an earlier one may have been executed */
 	if (v.outcome == LW_NOT_RUN && h[2].value[0] == '1')
 		v.outcome = LW_UNKNOWN;
 	record(j, &v);
@@ -296,23 +296,25 @@
 int main(int argc, char **argv)
 {
 	lw_cli_t cli = lw_cli_new("lwload");
-	struct arg_str *mix =
-		arg_str1(NULL, "mix", "SVC/NAME:W[!][~],..", "routes; ! keyed, ~ sheddable");
+	struct arg_str *mix = arg_str1(NULL, "mix", "SVC/NAME:W[!][~],..",
+				       "routes with weights; ! with idempotency key, ~ sheddable");
 	struct arg_str *nodes =
 		arg_strn(NULL, "node", "SVC=IP:PORT", 1, TARGETS_MAX, "a node of a service");
-	struct arg_dbl *rate = arg_dbl0(NULL, "rate", "N", "requests a second (default 50)");
-	struct arg_dbl *secs = arg_dbl0(NULL, "seconds", "S", "how long to send (default 5)");
+	struct arg_dbl *rate = arg_dbl0(NULL, "rate", "N", "requests per second (default 50)");
+	struct arg_dbl *secs = arg_dbl0(NULL, "seconds", "S", "length of the run (default 5)");
 	struct arg_int *workers = arg_int0(NULL, "workers", "N", "concurrent clients (default 32)");
 	struct arg_int *dl =
 		arg_int0(NULL, "deadline-ms", "MS", "deadline per user request (default 1000)");
 	struct arg_int *retries =
-		arg_int0(NULL, "client-retries", "N", "retries of a client (default 0)");
+		arg_int0(NULL, "client-retries", "N", "retries per request (default 0)");
 	struct arg_str *surge =
-		arg_str0(NULL, "surge", "FROM:TO:MULT", "sheddable rate times MULT");
-	struct arg_file *hist = arg_file0(NULL, "history", "FILE", "write the history here");
+		arg_str0(NULL, "surge", "FROM:TO:MULT",
+			 "multiply the rate of sheddable routes by MULT from second FROM to TO");
+	struct arg_file *hist = arg_file0(NULL, "history", "FILE", "write a history to FILE");
 	struct arg_str *via =
 		arg_str0(NULL, "via", "call|out|direct",
-			 "node caller port (default), node outbound port, or backend");
+			 "send to a node as caller (default), to a node as backend server, or "
+			 "directly to backend servers");
 	void *table[] = { cli.help, cli.version, mix,	nodes, rate, secs,   workers,
 			  dl,	    retries,	 surge, hist,  via,  cli.end };
 	int rc = lw_cli_parse(&cli, argc, argv, table);
@@ -336,7 +338,8 @@
 	load_run.client_retries = retries->count ? retries->ival[0] : 0;
 	if (surge->count && sscanf(surge->sval[0], "%lf:%lf:%lf", &load_run.surge_from,
 				   &load_run.surge_to, &load_run.surge_mult) != 3) {
-		fprintf(stderr, "lwload: --surge wants FROM:TO:MULT in seconds, e.g. 2:4:3\n");
+		fprintf(stderr,
+			"lwload: --surge must be FROM:TO:MULT with times in seconds, e.g. 2:4:3\n");
 		return 2;
 	}
 	if (hist->count && !(load_run.history = fopen(hist->filename[0], "w"))) {
--- a/src/lwload_int.h
+++ b/src/lwload_int.h
@@ -1,4 +1,4 @@
-/* Shared by the files of lwload only. */
+/* Internals of lwload, shared by lwload.c and lwloadreport.c. */
 #ifndef LW_LWLOAD_INT_H
 #define LW_LWLOAD_INT_H
 
@@ -14,18 +14,18 @@
 #define TARGETS_MAX 64
 #define SECONDS_MAX 600
 
-/* where requests are sent: a node's caller port, a node's outbound port
- * (both node passes of a call between services), or a backend directly */
+/* where requests are sent: to a node's path for callers, to a node's outbound path (as a call
+ * between services, which passes two nodes), or directly to a backend server */
 typedef enum path_mode { PATH_CALL, PATH_OUT, PATH_DIRECT } path_mode_t;
 
 typedef struct route {
 	char service[LW_NAME_MAX];
 	char name[LW_NAME_MAX];
 	double weight;
-	bool keyed; /* not idempotent: send an idempotency key */
+	bool keyed; /* not idempotent: requests have an idempotency key */
 	bool sheddable;
-	uint64_t n[3];
-	uint64_t good;
+	uint64_t n[3]; /* by outcome */
+	uint64_t good; /* done without a server error and within the deadline */
 } route_t;
 
 typedef struct target {
@@ -35,7 +35,7 @@
 
 /* one finished request */
 typedef struct sample {
-	uint16_t second; /* it was due in */
+	uint16_t second; /* second of the run in which the request was due */
 	bool good;
 	uint32_t lat_us;
 } sample_t;
@@ -46,7 +46,7 @@
 	uint64_t due_ms;
 } job_t;
 
-/* the run: what was asked for, the queue between generator and workers, the samples */
+/* the run: its parameters, the queue between generator and workers, and the results */
 typedef struct lw_load_run {
 	route_t routes[ROUTES_MAX];
 	int nroutes;
@@ -67,10 +67,10 @@
 	uint64_t t0;
 	sample_t *samples;
 	size_t nsamples, capsamples;
-	uint64_t dropped;
+	uint64_t dropped; /* requests that found the queue full */
 	uint64_t attempts;
-	uint64_t crossed_answers; /* answers that were not this caller's */
-	char run[32]; /* this run's nonce, part of every id and key */
+	uint64_t crossed_answers; /* answers that belong to another request */
+	char run[32]; /* unique to this run; part of every request id and key */
 	path_mode_t path_mode;
 } lw_load_run_t;
 
--- a/src/lwloadreport.c
+++ b/src/lwloadreport.c
@@ -1,4 +1,4 @@
-/* What lwload prints after a run. */
+/* The report that lwload prints after a run. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -19,13 +19,13 @@
 	return x->second != y->second ? (int)x->second - (int)y->second : cmp_latency(a, b);
 }
 
-/* what a stretch of seconds looked like */
+/* results within a time window */
 typedef struct window_stats {
 	double success; /* share of good answers */
 	double p99_ms;
 } window_stats_t;
 
-/* of the seconds @from up to @to; samples are sorted by second */
+/* results from second @from up to, excluding, second @to; samples must be sorted by second */
 static window_stats_t window_stats_of(size_t from, size_t to)
 {
 	size_t first = 0, n = 0, good = 0, p99;
@@ -49,9 +49,9 @@
 }
 
 /*
- * Recovery time: from the end of the surge until the first second whose
- * success ratio and p99 are both back within 10% (or 10 ms) of before it;
- * -1 when that does not come within the run.
+ * Recovery time in seconds: from the end of the surge until the first second
+ * whose success ratio is within 10% and whose p99 is within 10% or 10 ms of
+ * the values before the surge. -1 if the run ends before.
  */
 static int recovery_s(void)
 {
@@ -68,7 +68,7 @@
 	return -1;
 }
 
-/* lw_load_report() - outcomes by route, goodput, latency and recovery time. */
+/* lw_load_report() - print outcomes by route, goodput, latency and recovery time. */
 void lw_load_report(void)
 {
 	uint64_t tot[3] = { 0 }, good = 0;
--- a/src/lwstub_backend.c
+++ b/src/lwstub_backend.c
@@ -1,11 +1,12 @@
 /*
- * lwstub-backend: a stand-in backend server for tests and the demo. It has
- * a number of slots and sheds (not_run, overloaded) when all are busy; it
- * takes a service time, is slower while cold, honours the deadline it is
- * given (it gives up before its commit point, so it can say "not run"),
- * calls other services through its node, drains, and can be made slow.
- * Once a downstream call that is no read ("?") has run, it no longer says
- * "not run". Every committed execution is written to its log for the history checker:
+ * lwstub-backend: a stub backend server for tests and the demo. It has a
+ * number of slots and sheds requests (not_run, overloaded) when all are busy.
+ * It simulates a service time, is slower while cold, calls other services
+ * through its node, drains, and can be made slow. A request whose deadline
+ * would pass is cancelled before its commit point and reported as "not run".
+ * After the execution of a downstream call that is not a read ("?") it is
+ * reported as "unknown" instead. Every committed execution is written to the
+ * log for the history checker:
  *   exec SERVICE ROUTE KEY REQUEST_ID
  */
 #include <math.h>
@@ -29,7 +30,7 @@
 typedef struct downstream {
 	char route[LW_NAME_MAX]; /* this server's route */
 	char target[LW_NAME_MAX]; /* "service/name" it calls */
-	bool read; /* idempotent: calling it leaves nothing behind */
+	bool read; /* the call has no side effects */
 } downstream_t;
 
 static struct {
@@ -37,16 +38,16 @@
 	char node[LW_NAME_MAX];
 	unsigned slots;
 	unsigned busy;
-	unsigned queue, waiting; /* requests beyond the slots that may wait */
+	unsigned queue, waiting; /* requests that may wait for a slot, and that do */
 	pthread_cond_t slot_free;
 	double service_ms;
 	unsigned cold_ms;
 	uint64_t started_ms;
 	unsigned extra_ms; /* injected slowness */
 	bool draining;
-	bool fake_healthy;
-	unsigned lose_percent; /* run, then close without an answer */
-	unsigned fail_percent; /* run, then answer 500 */
+	bool fake_healthy; /* report good health and no load in any case */
+	unsigned lose_percent; /* of the requests: execute, then close without an answer */
+	unsigned fail_percent; /* of the requests: execute, then answer 500 */
 	downstream_t calls[CALLS_MAX];
 	int ncalls;
 	FILE *log;
@@ -64,7 +65,7 @@
 	lw_http_replyf(resp, 503, "not_run %s\n", reason);
 }
 
-/* a slot, waited for in a queue of be.queue places until @deadline_at */
+/* take a slot; up to be.queue requests wait for one until @deadline_at */
 static bool slot_acquire(uint64_t deadline_at)
 {
 	bool ok;
@@ -98,7 +99,7 @@
 	double u;
 
 	if (!tl_rng[0]) {
-		/* each connection has its own thread: equal seeds would repeat one sequence */
+		/* seeds differ by thread; otherwise each connection would have the same times */
 		tl_rng[0] = (unsigned short)(__atomic_add_fetch(&seeds, 1, __ATOMIC_RELAXED) | 1);
 		tl_rng[1] = (unsigned short)getpid();
 		erand48(tl_rng);
@@ -111,7 +112,11 @@
 	return (unsigned)t + __atomic_load_n(&be.extra_ms, __ATOMIC_RELAXED);
 }
 
-/* Call the downstream services of @route in order; false stops the request. */
+/*
+ * Call the downstream services of @route in order. Returns false if a call
+ * failed; @resp is the answer to the request then. @retries is increased by the
+ * retries of the calls; @had_effects is set after a call that is not a read.
+ */
 static bool call_downstream(const lw_http_req_t *req, const char *route, uint64_t deadline_at,
 			    lw_http_resp_t *resp, unsigned *retries, bool *had_effects)
 {
@@ -147,7 +152,7 @@
 			      key == NULL || !key[0], &r);
 		*retries += r.retries_used;
 		if (r.fail || strcmp(r.outcome, "done") || r.status >= 500) {
-			/* we have not committed: pass on what the callee said of itself */
+			/* nothing is committed here: the callee's outcome is that of the request */
 			const char *o = r.fail || *had_effects || !r.outcome[0] ||
 							strcmp(r.outcome, "done") == 0 ?
 						"unknown" :
@@ -188,7 +193,7 @@
 	}
 	t = service_time();
 	if (lw_now_ms() + t > deadline_at) {
-		/* cancelled before the commit point: nothing was done */
+		/* cancelled before the commit point: the request has no effect here */
 		uint64_t now = lw_now_ms();
 
 		if (deadline_at > now)
@@ -227,7 +232,7 @@
 	(void)start;
 }
 
-/* a fault's strength, set while running; no value turns it off */
+/* set the strength of an injected fault; without a value it is turned off */
 static void set_fault(unsigned *fault, const char *value, lw_http_resp_t *resp)
 {
 	unsigned v = value ? (unsigned)strtoul(value, NULL, 10) : 0;
@@ -271,7 +276,7 @@
 
 static int parse_calls(const char *spec)
 {
-	/* ROUTE=svc/name?,svc/name ; ? = a read */
+	/* ROUTE=svc/name?,svc/name, where ? marks a read */
 	const char *eq = strchr(spec, '=');
 	char *list, *tok, *save;
 
@@ -295,19 +300,22 @@
 int main(int argc, char **argv)
 {
 	lw_cli_t cli = lw_cli_new("lwstub-backend");
-	struct arg_str *listen = arg_str0(NULL, "listen", "IP:PORT", "address to serve");
+	struct arg_str *listen = arg_str0(NULL, "listen", "IP:PORT", "address to listen on");
 	struct arg_str *service = arg_str0(NULL, "service", "NAME", "service name");
-	struct arg_str *node = arg_str0(NULL, "node", "IP:PORT", "its lwnode, for outbound calls");
+	struct arg_str *node =
+		arg_str0(NULL, "node", "IP:PORT", "address of its lwnode for downstream calls");
 	struct arg_int *slots = arg_int0(NULL, "slots", "N", "requests served at once (default 8)");
 	struct arg_dbl *ms = arg_dbl0(NULL, "service-ms", "MS", "mean service time (default 5)");
-	struct arg_int *cold = arg_int0(NULL, "cold-ms", "MS", "slower for this long after start");
-	struct arg_str *calls =
-		arg_strn(NULL, "calls", "ROUTE=SVC/NAME[?],..", 0, 8, "downstream calls; ? reads");
+	struct arg_int *cold =
+		arg_int0(NULL, "cold-ms", "MS", "triple service time for this long after start");
+	struct arg_str *calls = arg_strn(NULL, "calls", "ROUTE=SVC/NAME[?],..", 0, 8,
+					 "downstream calls; ? marks reads");
 	struct arg_file *logf = arg_file0(NULL, "log", "FILE", "execution log for history checks");
 	struct arg_int *extra = arg_int0(NULL, "extra-ms", "MS", "added to every service time");
 	struct arg_int *queue =
 		arg_int0(NULL, "queue", "N", "requests that may wait for a slot (default 0)");
-	struct arg_str *to = arg_str0(NULL, "to", "IP:PORT", "client mode: the running stand-in");
+	struct arg_str *to =
+		arg_str0(NULL, "to", "IP:PORT", "client mode: address of a running stub");
 	struct arg_str *ctl =
 		arg_str0(NULL, "ctl", "FAULT",
 			 "client mode: slow?ms=N, lose?percent=N, fail?percent=N, drain, lie");
@@ -328,7 +336,8 @@
 					(lw_str_t){ NULL, 0 });
 	}
 	if (!listen->count || !service->count) {
-		fprintf(stderr, "lwstub-backend: give --listen and --service; see --help\n");
+		fprintf(stderr,
+			"lwstub-backend: --listen and --service are required; see --help\n");
 		return 2;
 	}
 	snprintf(be.service, sizeof(be.service), "%s", service->sval[0]);
@@ -342,7 +351,7 @@
 	be.extra_ms = extra->count ? (unsigned)extra->ival[0] : 0;
 	for (int i = 0; i < calls->count; i++)
 		if (parse_calls(calls->sval[i])) {
-			fprintf(stderr, "lwstub-backend: --calls wants ROUTE=SVC/NAME,...\n");
+			fprintf(stderr, "lwstub-backend: --calls must be ROUTE=SVC/NAME,...\n");
 			return 2;
 		}
 	if (logf->count && !(be.log = fopen(logf->filename[0], "a"))) {
--- a/src/lwstub_config.c
+++ b/src/lwstub_config.c
@@ -1,9 +1,9 @@
 /*
- * lwstub-config: a stand-in of the platform's configuration service, for
- * tests and the demo. Values are read, and watched by long poll with an
- * index (GET /v1/kv/KEY?index=N&wait=MS answers when the key's index passes
- * N or the wait ends). Tests publish with PUT and inject faults with
- * POST /v1/fault?mode=ok|down|stale|slow&ms=N. It counts every call.
+ * lwstub-config: a stub of the platform's configuration service, for tests
+ * and the demo. Clients read values, or watch them by long poll with an index:
+ * GET /v1/kv/KEY?index=N&wait=MS answers when the key's index exceeds N or the
+ * wait time has passed. Tests publish values with PUT and inject faults with
+ * POST /v1/fault?mode=ok|down|stale|slow&ms=N. The stub counts every call.
  */
 #include <pthread.h>
 #include <signal.h>
@@ -26,7 +26,7 @@
 	char *value;
 	size_t len;
 	uint64_t index;
-	char *frozen; /* what "stale" mode serves */
+	char *frozen; /* value served in "stale" mode */
 	size_t frozen_len;
 	uint64_t frozen_index;
 } kv_t;
@@ -194,7 +194,7 @@
 	FILE *f;
 
 	if (!eq || eq == spec || (size_t)(eq - spec) >= sizeof(key)) {
-		fprintf(stderr, "lwstub-config: --load wants KEY=FILE, got '%s'\n", spec);
+		fprintf(stderr, "lwstub-config: --load must be KEY=FILE, got '%s'\n", spec);
 		return -1;
 	}
 	snprintf(key, sizeof(key), "%.*s", (int)(eq - spec), spec);
@@ -214,8 +214,8 @@
 }
 
 /*
- * The stand-in's client side, standing in for the operators' console:
- * publish a value or set a fault on a running stand-in at @to.
+ * Client mode, in place of the operators' console: send one request to the
+ * running stub at @to, to publish @file, set a fault or read the call counts.
  */
 static int client(const char *to, const char *method, const char *path, const char *file)
 {
@@ -242,11 +242,12 @@
 int main(int argc, char **argv)
 {
 	lw_cli_t cli = lw_cli_new("lwstub-config");
-	struct arg_str *listen =
-		arg_str0(NULL, "listen", "IP:PORT", "address (default 127.0.0.1:7000)");
+	struct arg_str *listen = arg_str0(NULL, "listen", "IP:PORT",
+					  "address to listen on (default 127.0.0.1:7000)");
 	struct arg_str *load =
 		arg_strn(NULL, "load", "KEY=FILE", 0, 16, "publish FILE under KEY at start");
-	struct arg_str *to = arg_str0(NULL, "to", "IP:PORT", "client mode: the running stand-in");
+	struct arg_str *to =
+		arg_str0(NULL, "to", "IP:PORT", "client mode: address of a running stub");
 	struct arg_str *key =
 		arg_str0(NULL, "key", "KEY", "client mode: key to publish (default lavenderward)");
 	struct arg_file *publish = arg_file0(NULL, "publish", "FILE", "client mode: publish FILE");
@@ -298,7 +299,7 @@
 	}
 	lw_log(LW_LOG_started, "listen=%s", listen->count ? listen->sval[0] : "127.0.0.1:7000");
 	sigwait(&set, &sig);
-	/* long polls in progress are cut short: the process exits here */
+	/* the exit ends long polls in progress */
 	lw_log(LW_LOG_stopped, "signal=%d", sig);
 	return 0;
 }
--- a/src/lwstub_relay.c
+++ b/src/lwstub_relay.c
@@ -1,10 +1,11 @@
 /*
- * lwstub-relay: a stand-in of the network between two nodes, for failure
- * tests. It forwards TCP connections, and on a signal misbehaves as networks
- * do without telling either end:
- *   SIGUSR1  the open connections go silent for good; new ones work
- *   SIGUSR2  cut, or heal: while cut nothing passes, connections are taken
- *            and stay silent; what was open at the cut stays silent after it
+ * lwstub-relay: a stub of the network between two nodes, for failure tests. It
+ * forwards TCP connections and injects network faults on signals. Neither end
+ * of a connection is notified of them:
+ *   SIGUSR1  open connections stop forwarding for good; new ones work
+ *   SIGUSR2  starts or ends a partition. During a partition nothing is
+ *            forwarded and new connections are accepted but stay silent;
+ *            connections opened before stay silent after its end
  */
 #include <poll.h>
 #include <pthread.h>
@@ -26,14 +27,14 @@
 
 typedef struct link {
 	int near, far;
-	unsigned epoch; /* silent once the relay's epoch has moved on */
+	unsigned epoch; /* of the relay at accept; the link is silent in later epochs */
 } link_t;
 
 static unsigned relay_epoch;
 static unsigned relay_partitioned; /* 0 or 1 */
 static const char *relay_target;
 
-/* move what is there from @in to @out; false when @in ended */
+/* forward available data from @in to @out; false when @in has ended or a call failed */
 static bool forward(int in, int out)
 {
 	char buf[16384];
@@ -68,7 +69,7 @@
 				       { .fd = l->far, .events = POLLIN } };
 
 		if (is_silent(l)) {
-			/* neither end is told: both sockets stay open and unread */
+			/* neither end is notified: both sockets stay open and are not read */
 			pause();
 			continue;
 		}
@@ -95,7 +96,7 @@
 	l->epoch = __atomic_load_n(&relay_epoch, __ATOMIC_RELAXED);
 	l->far = -1;
 	if (__atomic_load_n(&relay_partitioned, __ATOMIC_RELAXED)) {
-		free(l); /* taken by the kernel, never answered: as behind a partition */
+		free(l); /* the socket stays open and unread, as behind a partition */
 		return;
 	}
 	if (lw_sock_connect(relay_target, RELAY_CONNECT_MS, &l->far)) {
@@ -143,8 +144,8 @@
 int main(int argc, char **argv)
 {
 	lw_cli_t cli = lw_cli_new("lwstub-relay");
-	struct arg_str *listen = arg_str0(NULL, "listen", "IP:PORT", "address to take connections");
-	struct arg_str *to = arg_str0(NULL, "to", "IP:PORT", "address to forward them to");
+	struct arg_str *listen = arg_str0(NULL, "listen", "IP:PORT", "address to listen on");
+	struct arg_str *to = arg_str0(NULL, "to", "IP:PORT", "address to forward connections to");
 	void *table[] = { cli.help, cli.version, listen, to, cli.end };
 	int rc = lw_cli_parse(&cli, argc, argv, table);
 	pthread_t t;
@@ -155,7 +156,7 @@
 	if (rc != LW_CLI_RUN)
 		return rc;
 	if (!listen->count || !to->count) {
-		fprintf(stderr, "lwstub-relay: give --listen and --to; see --help\n");
+		fprintf(stderr, "lwstub-relay: --listen and --to are required; see --help\n");
 		return 2;
 	}
 	relay_target = to->sval[0];
