--- a/tests/sim.sh
+++ b/tests/sim.sh
@@ -1,17 +1,18 @@
 #!/bin/sh
-# Replays of loads on the model (lwsim): each gain of the decisions as a ratio
-# against the policy without it, in one run with one seed.
+# Simulated loads (lwsim): checks the gain of each mechanism against a policy
+# without it, on the same load and with the same seed.
 set -e
 SIM=${SIM:-build/lwsim}
 DIR=$(dirname "$0")/sim
 passed=0
 failed=0
 
-# field NAME FILE: the figure behind NAME
+# figure NAME FILE: prints the percentage that follows NAME in lwsim's output
 figure() { sed -n "s/.*$1 \([0-9.-]*\)%.*/\1/p" "$2" | tail -1; }
+# kind NAME FILE: prints the percentage of requests of a kind answered within their objective
 kind() { sed -n "s/^$1 .*in_target *[0-9]* ( *\([0-9.]*\)%).*/\1/p" "$2"; }
 
-# check WHAT EXPRESSION
+# check NAME EXPRESSION: EXPRESSION is in the language of awk
 check() {
 	if awk "BEGIN { exit !($2) }"; then
 		passed=$((passed + 1))
@@ -46,19 +47,19 @@
 check "1.7-fold burst: nearly no server time wasted" "$(figure 'server time' "$tmp/full") < 2"
 check "1.7-fold burst: calls that do not inherit their rank cost goodput" \
 	"$(figure goodput "$tmp/full") > $(figure goodput "$tmp/without-inherited") + 10"
-check "1.7-fold burst: all slots of a server that slows down when full cost goodput" \
+check "1.7-fold burst: using all slots of a server that slows down when full costs goodput" \
 	"$(figure goodput "$tmp/full") > $(figure goodput "$tmp/without-margin") + 5"
-check "1.7-fold burst: queues by the user request's objective cost none" \
+check "1.7-fold burst: queues ordered by the user request's objective cost no goodput" \
 	"$(figure goodput "$tmp/full") >= $(figure goodput "$tmp/without-order")"
-check "1.7-fold burst: levels waste less than a twentieth of what is wasted without" \
+check "1.7-fold burst: admission levels cut wasted server time to less than a twentieth" \
 	"$(figure 'server time' "$tmp/no-levels") > 3 && $(figure 'server time' "$tmp/full") * 20 < $(figure 'server time' "$tmp/no-levels")"
 check "1.7-fold burst: urgent requests all in target" "$(kind register "$tmp/full") > 99"
 check "2.5-fold burst: urgent requests all in target" "$(kind register "$tmp/heavy") > 97"
-check "2.5-fold burst: levels keep goodput and waste less" \
+check "2.5-fold burst: admission levels more than halve wasted server time" \
 	"$(figure 'server time' "$tmp/heavy") < $(figure 'server time' "$tmp/heavy-no-levels") / 2"
 check "a slow leaf server: goodput above the naive policy" \
 	"$(figure goodput "$tmp/slow") > $(figure goodput "$tmp/slow-naive") + 10"
-check "leaf servers that shed: more urgent requests in target than with repeats spread" \
+check "leaf servers that shed: more urgent requests in target than with retries for all ranks" \
 	"$(kind register "$tmp/shed") > $(kind register "$tmp/shed-spread") + 3"
 check "leaf servers that shed: no less goodput" \
 	"$(figure goodput "$tmp/shed") >= $(figure goodput "$tmp/shed-spread")"
