--- a/src/node_int.h
+++ b/src/node_int.h
@@ -90,8 +90,7 @@
 	int tick_sub;
 	lw_httpd_t *http, *admin;
 	int peer_fd;
-	uint64_t
-		last_alive_ms; /* updated by the timer thread; a gap means the process was paused */
+	uint64_t last_alive_ms; /* set by the timer thread; a gap means a pause of the process */
 	int serving; /* requests that were read and whose answer has not been sent yet */
 	int stopping;
 	bool exit_ready;
