--- a/tests/mesh/eras.py
+++ b/tests/mesh/eras.py
@@ -1,4 +1,4 @@
-"""Failure tests of a store that comes back from a copy some seconds old."""
+"""Failure tests of a store that is restored from a copy some seconds old."""
 import asyncio
 import time
 
@@ -6,11 +6,11 @@
 from fleet import config, until
 from harness import check, test
 
-DRAIN_S = 2.05  # a little more than the bound, for the way to the server
+DRAIN_S = 2.05  # the limit of 2 s and a margin for the way to the server
 
 
 async def asks(f, target, stop, answers, nodes=None):
-    """One caller at each node, until told to stop."""
+    """Runs one caller at each node until `stop` is not empty."""
     async def at(node, k):
         i = 0
         while not stop:
@@ -22,13 +22,14 @@
 
 
 def write_much(f, n):
-    """Others write to the store: revisions rise."""
+    """Writes unrelated keys, as other users of the store do, so that revisions rise."""
     for i in range(n):
         f.store.put(f"other/{i % 7}", {"n": i})
 
 
 def raise_revisions(f, n):
-    """The same, and a configuration: the list of servers in use is that of this revision, too."""
+    """Does the same and writes a configuration, so that the server list in use also has
+    this revision."""
     write_much(f, n)
     f.store.put("op/config", config(4, f.rules))
 
@@ -53,7 +54,8 @@
 
 
 async def play(f, fn):
-    """Runs `fn` beside callers of /leaf/ at every node; what they heard."""
+    """Runs `fn` while callers send requests to /leaf/ at every node; returns its result and
+    the callers' answers."""
     stop, answers = [], []
     task = asyncio.ensure_future(asks(f, "/leaf/1", stop, answers))
     await asyncio.sleep(1)
@@ -67,7 +69,9 @@
 
 @test({"front": 2, "back": 3})
 async def test_drain_after_a_return_from_a_copy(f):
-    """A server that leaves gets work for seconds, as the list that says so has a revision given out before."""
+    """Guards against a leaving server that gets work for seconds because the list that
+    contains its drain has a revision that was already used before the store was
+    restored."""
     copy = f.store.copy()
     raise_revisions(f, 300)
     server = f.nodes["back"][0].server
@@ -82,7 +86,9 @@
 
 @test({"front": 2, "back": 3})
 async def test_drain_below_the_watched_revision(f):
-    """A drain is never heard of: by the next watch the store is past its old revision, and the drain below it."""
+    """Guards against a drain that nodes never receive: at the next watch the restored
+    store is already past the revision that a node watched before, and the drain has a
+    lower revision."""
     copy = f.store.copy()
     raise_revisions(f, 20)
     server = f.nodes["back"][0].server
@@ -93,18 +99,20 @@
         f.register(server)
         since = time.monotonic()
         write_much(f, 60)
-        for _ in range(80):  # a busy store: watches end at once, and nobody reads everything
+        for _ in range(80):  # a busy store: watches return at once, and no node reads everything
             await asyncio.sleep(0.05)
             write_much(f, 1)
         return late(server, since)
-    f.beats.cancel()  # the drain is not written again
+    f.beats.cancel()  # heartbeats do not write the drain again
     too_late, _ = await play(f, fn)
     check(not too_late, (len(too_late), max(too_late, default=0)))
 
 
 @test({"front": 3, "back": 3})
 async def test_drain_told_by_who_saw_the_return(f):
-    """A host that is cut from the store takes the word of one that saw it return for old."""
+    """Guards against a node, partitioned from the store, that takes updates from a node
+    that saw the restored store for outdated ones, and so sends work to a leaving
+    server."""
     copy = f.store.copy()
     raise_revisions(f, 300)
     server = f.nodes["back"][0].server
@@ -121,7 +129,9 @@
 
 @test({"front": 2, "back": 3})
 async def test_two_returns_in_a_row(f):
-    """The store returns twice, while the two that read for all are turned away by turns."""
+    """Guards against late work for a leaving server when the store is restored twice, while
+    it rejects the reads of every second node and then those of the other nodes, so that
+    the nodes that read for all are rejected in turn."""
     copy = f.store.copy()
     raise_revisions(f, 200)
     server = f.nodes["back"][0].server
@@ -145,7 +155,8 @@
 
 @test({"front": 2, "back": 3})
 async def test_drain_lost_with_the_copy(f):
-    """A server has said that it leaves, the store forgets it, and the server gets work again."""
+    """Guards against work for a server that has reported its drain, after the restored
+    store has lost that report."""
     copy = f.store.copy()
     server = f.nodes["back"][0].server
 
@@ -153,7 +164,7 @@
         server.draining = True
         f.register(server)
         since = time.monotonic()
-        f.beats.cancel()  # it is not written again
+        f.beats.cancel()  # heartbeats do not write the drain again
         await asyncio.sleep(1)
         await away(f, 0.8, copy)
         await asyncio.sleep(4)
@@ -164,7 +175,8 @@
 
 @test({"front": 2, "back": 3})
 async def test_entry_of_one_that_left_is_in_the_copy(f):
-    """A server that left without a word is back in the list with the copy, and gets work again."""
+    """Guards against work for a server that left without reporting a drain and whose entry
+    is in the server list again after the store is restored."""
     copy = f.store.copy()
     server = f.nodes["back"][0].server
 
@@ -182,7 +194,8 @@
 
 @test({"front": 2, "back": 2})
 async def test_entry_that_the_copy_does_not_have(f):
-    """The copy is older than every server of a service: no request finds one until they write again."""
+    """Guards against requests that find no server when the copy is older than all servers
+    of a service, until these write their entries again."""
     for n in f.nodes["back"]:
         f.store.items.pop("servers/" + n.server.id)
     copy = f.store.copy()
@@ -205,7 +218,8 @@
 
 @test({"front": 2, "back": 2})
 async def test_config_after_a_return_from_a_copy(f):
-    """A configuration that is written after the return is late, or one that the copy has comes back."""
+    """Guards against a configuration that takes effect late when it is written after the
+    store is restored, and against the return of an older configuration from the copy."""
     await until(lambda: f.all()[0].metric("lw_config_version"), lambda v: v == 1)
     copy = f.store.copy()
     f.store.put("op/config", config(4, f.rules))
@@ -223,7 +237,8 @@
 
 @test({"front": 2, "back": 3})
 async def test_older_version_reads_for_all(f):
-    """The hosts that read for all are of a version that knows no eras: a drain is not heard of while their news is young."""
+    """Guards against a drain that nodes do not receive because the hosts that read for all
+    run a version that does not know store eras, and report a low store age."""
     await asyncio.sleep(1)
     readers = [n for n in f.all() if await n.metric("lw_store_reader") == 1]
     check(len(readers) == 2, len(readers))
@@ -259,7 +274,8 @@
 
 @test({"front": 2, "back": 2})
 async def test_held_entry_goes_without_another_write(f):
-    """An entry that lapsed in an outage counts on for good, as no write to the store follows its last hold."""
+    """Guards against an entry that lapsed in an outage and counts for good, because no
+    write to the store follows the end of the period for which it was held."""
     await asyncio.sleep(1)
     f.beats.cancel()
     f.store.mode = "reset"
--- a/tests/mesh/organisations.py
+++ b/tests/mesh/organisations.py
@@ -1,4 +1,4 @@
-"""Failure tests of organisations: who asks, and how much they may ask for."""
+"""Failure tests of organisations: identification by API key, and rate limits."""
 import asyncio
 import os
 import time
@@ -46,7 +46,9 @@
 
 @test({"front": 2, "back": 1})
 async def test_key_names_the_organisation(f):
-    """A server sees the caller's key, or the organisation that the caller claims to be."""
+    """Guards against a server that sees the caller's key, or the organisation that the
+    caller claims to be. The node removes the key and sets the organisation that holds
+    it."""
     await put(f, keyed(2))
     for i, node in enumerate(f.all()):
         for name, held in KEYS.items():
@@ -60,7 +62,8 @@
 
 @test({"front": 2, "back": 1})
 async def test_open_route_passes_no_key(f):
-    """On a route that needs no key, the server sees the key that came all the same."""
+    """Guards against a server that sees a key that a caller sent on a route that needs
+    none. The node removes the key and any claimed organisation."""
     await put(f, keyed(2))
     for i, headers in enumerate(([], bearer(KEYS["blue"][0]), bearer("nobody"),
                                  ["X-Tenant-Id: blue"])):
@@ -71,7 +74,8 @@
 
 @test({"front": 2, "back": 1})
 async def test_unknown_keys_are_turned_away(f):
-    """A request runs whose key nobody holds, or which has none, another scheme, or two keys."""
+    """Guards against the execution of a request whose key no organisation holds, or which
+    has no key, another authentication scheme, or two keys."""
     await put(f, keyed(2))
     good = KEYS["blue"][0]
     cases = [([], 401), (bearer("nobody"), 401), (bearer(good + "x"), 401), (bearer(good[:-1]), 401),
@@ -88,7 +92,7 @@
 
 @test({"front": 2, "back": 1})
 async def test_calls_of_servers_carry_no_key(f):
-    """A call of a running request is turned away, as it carries no key."""
+    """Guards against the rejection of calls of running requests, which carry no key."""
     inner = [route("get", "/get/", "front"), route("leaf", "/leaf/", "back")]
     await put(f, keyed(2, rules=inner))
 
@@ -103,7 +107,8 @@
 
 @test({"front": 3, "back": 1})
 async def test_keys_change_with_the_configuration(f):
-    """A key that was taken away is served on, one that was added or moved is not known."""
+    """Guards against keys that are used by an old configuration: a removed key is still
+    accepted, or an added or moved key is unknown."""
     await put(f, keyed(2))
     await put(f, keyed(3, {"red": ["key-of-red-2", "key-of-blue"], "green": ["fresh"]}))
     expected = {"key-of-red-1": None, "key-of-red-2": "red", "key-of-blue": "red", "fresh": "green"}
@@ -116,7 +121,8 @@
 
 @test({"front": 6, "back": 2})
 async def test_keys_taken_away_in_the_dark(f):
-    """Hosts that the store turns away serve a key on that was taken away."""
+    """Guards against hosts that accept a removed key because the store rejects their
+    reads. They receive the new configuration from other nodes."""
     await put(f, keyed(2))
     for n in f.all()[:3]:
         f.store.refused.add(n.ip)
@@ -129,7 +135,9 @@
 
 @test({"front": 2, "back": 1})
 async def test_new_key_at_a_node_in_the_dark(f):
-    """A node that has not heard of the store for long answers 401 to a key that may be new; callers never come back."""
+    """Guards against callers that give up for good: a node without a store update for a
+    long time answers 401 to a key that may be new. The node answers 503 instead, and
+    serves the keys that it knows."""
     await put(f, keyed(2))
     f.store.mode = "503"
     await asyncio.sleep(4)
@@ -139,7 +147,9 @@
 
 @test({"front": 2, "back": 1})
 async def test_shared_key_is_refused(f):
-    """A configuration in which two organisations hold one key is taken, and requests are one's or the other's."""
+    """Guards against requests that count for the wrong organisation: in a configuration,
+    two organisations hold the same key. Such a configuration is rejected and the old one
+    stays in force."""
     await put(f, keyed(2))
     f.store.put("op/config", keyed(3, {"red": ["key-of-red-1"], "blue": ["key-of-red-1"]}))
     await asyncio.sleep(1)
@@ -149,7 +159,8 @@
 
 @test({"front": 2, "back": 1})
 async def test_no_key_in_any_log(f):
-    """A key is in a log, the metrics or the status, where more people can read it."""
+    """Guards against keys in a log, the metrics or the status page, where more people can
+    read them."""
     await put(f, keyed(2))
     node = f.nodes["front"][0]
     for i, headers in enumerate((bearer("secret-unknown-key"), bearer(KEYS["red"][0]),
@@ -171,7 +182,8 @@
 
 
 class Load:
-    """Requests of one organisation at so many a second, spread over some nodes."""
+    """Sends requests of one organisation at a given rate per second, distributed over
+    several nodes."""
 
     def __init__(self, f, key):
         self.f, self.key, self.n, self.answers = f, key, 0, []
@@ -200,7 +212,8 @@
 
 
 def most_run(f, key, window=5.0):
-    """The most requests of an organisation that ran in any window."""
+    """Returns the highest number of an organisation's requests that were executed within
+    @window seconds."""
     times = sorted(t for n in f.all() for t, r in n.server.ran if r.startswith(f"q{key}-"))
     most, first = 0, 0
     for last, t in enumerate(times):
@@ -225,7 +238,9 @@
 
 @test({"front": 6, "back": 2})
 async def test_limit_pressed_everywhere(f):
-    """Each node lets in what the limit allows to all of them together."""
+    """Guards against nodes that each admit the rate that the limit allows for all of them
+    together: every node gets more requests than the limit. The limit is used fully, and
+    429 carries a retry-after delay."""
     await put(f, limited(2))
     await asyncio.sleep(1)
     load = Load(f, KEYS["red"][0])
@@ -241,7 +256,8 @@
 
 @test({"front": 6, "back": 2})
 async def test_limit_at_one_node_then_another(f):
-    """All requests of an organisation come to one node, and it may have a part of the limit only."""
+    """Guards against an organisation that gets only a share of its limit because all its
+    requests arrive at one node, and then at another one."""
     await put(f, limited(2))
     await asyncio.sleep(1)
     load = Load(f, KEYS["red"][0])
@@ -256,7 +272,8 @@
 
 @test({"front": 6, "back": 2}, relays=True)
 async def test_limit_while_all_are_cut_off(f):
-    """Nodes that cannot reach each other let in the whole limit each."""
+    """Guards against nodes that each admit the whole limit while they cannot reach each
+    other."""
     await put(f, limited(2))
     load = Load(f, KEYS["red"][0])
     await load.run(f.all(), 25, 4)
@@ -270,7 +287,8 @@
 
 @test({"front": 6, "back": 2})
 async def test_limit_while_nodes_are_killed(f):
-    """A keeper that is killed and starts anew hands out the limit again."""
+    """Guards against a limit that is granted twice: a quota coordinator is killed and
+    restarted, and grants the limit again."""
     await put(f, limited(2))
     await asyncio.sleep(1)
     load = Load(f, KEYS["red"][0])
@@ -285,7 +303,8 @@
 
 @test({"front": 6, "back": 2})
 async def test_limit_lowered_under_pressure(f):
-    """A limit is lowered while more is asked for, and nodes go on with the old one."""
+    """Guards against nodes that continue with the old limit when it is lowered while
+    demand exceeds it."""
     await put(f, limited(2, 100))
     await asyncio.sleep(1)
     load = Load(f, KEYS["red"][0])
@@ -300,7 +319,8 @@
 
 @test({"front": 4, "back": 2})
 async def test_limit_while_the_store_is_away(f):
-    """The store is away, and limits are refused or not kept."""
+    """Guards against limits that are exceeded, or not granted in full, during an outage of
+    the store."""
     await put(f, limited(2))
     f.store.mode = "503"
     await asyncio.sleep(2)
@@ -313,7 +333,8 @@
 
 @test({"front": 4, "back": 2})
 async def test_below_the_limit_nothing_is_refused(f):
-    """Many organisations that send little each, at any node, are refused."""
+    """Guards against rejections below the limit: many organisations send few requests
+    each, at any node."""
     names = {f"small-{i}": [f"k-small-{i}"] for i in range(20)}
     await put(f, keyed(2, names, {n: 5 for n in names}))
     await asyncio.sleep(1)
--- a/tests/mesh/run.py
+++ b/tests/mesh/run.py
@@ -1,5 +1,5 @@
-"""Failure tests of lwproxy over loopback. Each test tells its symptom, the
-sequence of events and the cause. Run: python3 tests/mesh/run.py [NAME...]"""
+"""Failure tests of lwproxy over loopback. Each test names the failure that it guards
+against and how that comes about. Run: python3 tests/mesh/run.py [NAME...]"""
 import asyncio
 import os
 import re
@@ -26,8 +26,9 @@
 
 @test({"front": 2, "back": 2})
 async def test_calm(f):
-    """Requests of every kind are answered whole and unchanged, from any node,
-    on kept connections; the headers the proxy owns are set by it."""
+    """Guards against requests that are answered incompletely or altered without any
+    fault: requests of every kind are sent to each node on persistent connections. The
+    headers that the proxy owns are set by the proxy, whatever the caller sent."""
     for n, node in enumerate(f.all()):
         c = node.caller()
         for i, (method, target, body, chunked) in enumerate([
@@ -48,8 +49,8 @@
 
 @test({"front": 1, "back": 1})
 async def test_pipelined(f):
-    """Two requests in one packet are answered in order, the second not before
-    the first."""
+    """Guards against pipelined requests that are answered out of order: two requests
+    arrive in one packet. The second is answered after the first."""
     c = f.all()[0].caller()
     one = "GET /get/{0} HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: {0}\r\n\r\n"
     await c.raw((one.format("p1") + one.format("p2")).encode())
@@ -59,8 +60,9 @@
 
 @test({"front": 1})
 async def test_malformed(f):
-    """Symptom: a server runs a request that no caller sent. Sequence: a head
-    that two parsers read differently. Cause: two lengths, folding, bare LF."""
+    """Guards against a server that executes a request that no caller sent: two parsers
+    read the same head differently because of two lengths, folding or a bare LF. Such
+    heads are rejected, as are heads and bodies that are too large or too late."""
     bad = ["POST /put/ HTTP/1.1\r\nHost: h.example\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
            "POST /put/ HTTP/1.1\r\nHost: h.example\r\nContent-Length: 1\r\n"
            "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -86,9 +88,9 @@
 
 @test({"front": 1, "back": 1})
 async def test_caller_leaves(f):
-    """Symptom: servers work for callers that are gone. Sequence: a caller
-    closes its connection while its request runs, here and behind a hop.
-    Cause: nobody watched the caller's connection or told the other node."""
+    """Guards against servers that work for callers that are gone: a caller closes its
+    connection while its request is executed, at the same node or at another one, and
+    nobody watches the caller's connection or notifies the other node."""
     async def slow(server, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(5)
@@ -110,8 +112,9 @@
 @test({"front": 1, "back": 1}, rules=[route("get", "/get/", "back", timeout=0.4),
                                      route("put", "/put/", "back", "unsafe", timeout=0.4)])
 async def test_route_timeout(f):
-    """A request still unanswered at its route's timeout gets 504 at once, and
-    its server stops; it is not told that it did not run."""
+    """Guards against requests that outlive the timeout of their route. A request that is
+    unanswered at its route's timeout gets 504 at once, and its server stops working on
+    it; the caller is not told that the request was not executed."""
     async def slow(server, head, rid, stage):
         if stage == "run":
             check(int(head.get("x-deadline-ms")) <= 400, head.fields)
@@ -126,10 +129,10 @@
 
 @test({"front": 1, "back": 1})
 async def test_foreign_bytes(f):
-    """Symptom: a caller gets another request's answer, or a cut one as whole.
-    Sequence: a server adds a second answer at once or late, sends garbage,
-    breaks off, ends an unframed answer by a reset. Cause: such bytes were
-    matched by their place on the connection."""
+    """Guards against a caller that gets the answer to another request, or a truncated
+    answer as if it were complete: a server sends a second answer at once or later, sends
+    garbage, closes in the middle of an answer, or ends an unframed answer by a reset, and
+    such bytes are matched to requests by their position on the connection."""
     server = f.nodes["back"][0].server
     fault = [None]
 
@@ -162,8 +165,9 @@
 
 @test({"front": 1, "back": 1})
 async def test_early_answer(f):
-    """A server answers before it has read a long body: the caller gets the
-    answer, and the rest of its body never turns into a request."""
+    """Guards against a request body that is parsed as a request: a server answers before
+    it has read a long body. The caller gets the answer, and the rest of its body never
+    becomes a request."""
     async def early(s, head, rid, stage):
         return "early" if stage == "head" and rid == "e" else None
     f.nodes["back"][0].server.behave = early
@@ -177,9 +181,9 @@
 
 @test({"front": 1, "back": 2})
 async def test_answer_lost(f):
-    """Symptom: an order runs twice, or is refused as not run. Sequence: the
-    server runs it and the connection breaks. Cause: a repeat, or 503 where it
-    may have run. Reads may be repeated and are answered."""
+    """Guards against an order that is executed twice, or is rejected as not executed: the
+    server executes it, the connection breaks, and the order is retried, or answered 503
+    although it may have been executed. Reads may be retried and are answered."""
     async def lose(s, head, rid, stage):
         return "lost" if stage == "run" and s.id == "i-back-0" else None
     for n in f.nodes["back"]:
@@ -197,9 +201,10 @@
 
 @test({"front": 1, "back": 1}, slots=4)
 async def test_lost_answers_hold_no_slots(f):
-    """Symptom: a service refuses most requests while its servers idle.
-    Sequence: servers lose answers; the connections stay open. Cause: each lost
-    answer held a slot until its deadline. The server's own load tells."""
+    """Guards against a service that rejects most requests while its servers are idle:
+    servers lose answers while the connections stay open, and each lost answer holds a
+    slot until its deadline. The load that the server itself reports shows that it is
+    idle."""
     async def lose(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(0.02)
@@ -222,8 +227,9 @@
 
 @test({"front": 1, "back": 2})
 async def test_shed_goes_elsewhere(f):
-    """A server that turns a request away unrun: it goes to another one, also
-    an order; if all do, the caller hears when to come back."""
+    """Guards against failed requests when a server rejects a request before execution:
+    the request, also an order, is sent to another server; if all servers reject it, the
+    caller gets a retry-after delay."""
     async def shed(s, head, rid, stage):
         return "shed" if stage == "head" and (s.id == "i-back-0" or rid == "all") else None
     for n in f.nodes["back"]:
@@ -239,9 +245,9 @@
 
 @test({"front": 2, "back": 2})
 async def test_node_killed(f):
-    """Symptom: requests in flight fail or run twice when a node is killed.
-    Sequence: SIGKILL of the node beside a server at work, then its restart.
-    Cause: reads were not repeated elsewhere; orders were."""
+    """Guards against requests in flight that fail or are executed twice when a node is
+    killed: SIGKILL ends the node beside a server at work and the node is restarted, but
+    reads are not retried elsewhere, or orders are."""
     async def slow(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(0.5)
@@ -271,10 +277,10 @@
 
 @test({"front": 1, "back": 2}, slots=1)
 async def test_slow_call_kept_without_room_elsewhere(f):
-    """Symptom: a call ends with 502 while its server is at work on it.
-    Sequence: the call takes far longer than usual and counts as stalled; it is
-    given up and sent to another server, which is full and refuses it. Cause:
-    the first attempt was given up without a look whether another has room."""
+    """Guards against a call that ends with 502 while its server is at work on it: the
+    call takes far longer than usual and counts as stalled; it is given up and sent to
+    another server, which is full and rejects it. The first attempt is given up only if
+    another server has room."""
     async def by_id(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(2.5 if rid.startswith("block") else
@@ -303,8 +309,9 @@
 
 @test({"front": 1, "back": 2})
 async def test_status_and_routes(f):
-    """The status page tells what the node believes, with the age of the news;
-    requests are counted by route and outcome, and lwburn reads that."""
+    """Guards against a status page and metrics that mislead operators: the status page
+    shows the node's view of the fleet with the age of the last store update; requests
+    are counted by route and outcome, and lwburn reads these counts."""
     node = f.nodes["front"][0]
     for i in range(5):
         await node.caller().ask("GET", "/leaf/1", f"st{i}")
@@ -329,10 +336,10 @@
 
 @test({"front": 1, "back": 1})
 async def test_log_reader_stands_still(f):
-    """Symptom: requests wait for whoever reads the log, or fill its disk.
-    Sequence: the reader of standard output stops; ten times the usual number
-    of requests fail, each with a line. Cause: lines written by the thread that
-    serves requests, without a limit."""
+    """Guards against requests that wait for the reader of the log, and against a log that
+    fills the reader's disk: the reader of standard output is paused while ten times the
+    usual number of requests fail, each with a log line, and the thread that serves
+    requests writes these lines itself, without a limit."""
     node = f.nodes["front"][0]
     node.kill()
     read, write = os.pipe()
@@ -360,8 +367,8 @@
 
 @test({"front": 1})
 async def test_sighup(f):
-    """SIGHUP takes over changed terms; a file that is wrong changes nothing
-    and stops nothing."""
+    """Guards against settings that are ignored or stop the node on SIGHUP: changed terms
+    are applied; a file that is invalid changes nothing and stops nothing."""
     node = f.all()[0]
     node.write_settings(node.settings().replace("retry_ratio = 0.2", "retry_ratio = 0.1"))
     node.signal(signal.SIGHUP)
@@ -374,10 +381,10 @@
 
 @test({"front": 1, "back": 2}, slots=8)
 async def test_failing_server_is_not_fast(f):
-    """Symptom: thousands of requests fail while one of several servers fails all
-    it gets. Sequence: it answers 500 within a millisecond and says that it is
-    healthy. Cause: its failures counted as very short runs, so that it seemed
-    to be the fastest server of all."""
+    """Guards against thousands of failed requests while one of several servers fails all
+    requests that it gets: it answers 500 within a millisecond and reports that it is
+    healthy; if its failures count as very short executions, it seems to be the fastest
+    server of all."""
     async def work(s, head, rid, stage):
         if stage != "run":
             return None
@@ -399,9 +406,9 @@
 
 @test({"front": 1, "back": 3}, slots=2)
 async def test_dead_server_passed_over(f):
-    """Symptom: most calls of a busy service are handed back by one node. Sequence:
-    its server takes no connection; the other servers are full. Cause: its node
-    had no work, so by its load it was the best one."""
+    """Guards against a node that returns most calls of a busy service unexecuted: its
+    server accepts no connection while the other servers are full. That node has no work,
+    so by its load it looks like the best choice."""
     async def work(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(0.05)
@@ -419,9 +426,9 @@
 
 @test({"front": 1, "back": 1})
 async def test_frozen_node(f):
-    """Symptom: a request runs long after its caller was answered. Sequence: the
-    node beside the server is stopped with the request in its buffer, the
-    caller gives up, the node wakes. Cause: what lay in a buffer was new."""
+    """Guards against a request that is executed long after its caller was answered: the
+    node beside the server is paused with the request in its buffer, the caller gives up,
+    the node resumes and treats what lay in the buffer as new."""
     victim = f.nodes["back"][0]
     a = await f.nodes["front"][0].caller().ask("GET", "/leaf/1", "warm")
     check(a.status == 200, a)
@@ -438,13 +445,13 @@
 
 @test({"front": 1, "back": 2}, slots=1)
 async def test_call_kept_when_no_other_has_room(f):
-    """A read ended 502 although its server was at work and answered: the node
-    beside the server stood still for a second, nothing came back on the
-    question what became of the read, and it was given up and sent to another
-    server, which was full and refused it:
+    """Guards against a read that ends with 502 although its server is at work and answers:
+    the node beside the server is paused for a second, the outcome query for the read gets
+    no response, and the read is given up and sent to another server, which is full and
+    rejects it:
       E1310 request_retried after=broken busy=1 limit=1 given=1 left_ms=1790
       E1308 request_ended status=502 why=expired given=1 maybe_ran=1 after_ms=1569
-    Here the other server stays full. The read is answered when the node wakes."""
+    Here the other server stays full, and the read is answered when the node resumes."""
     async def by_id(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(4 if rid.startswith("block") else
@@ -469,16 +476,17 @@
 
 @test({"front": 1, "back": 3})
 async def test_call_stays_on_its_servers(f):
-    """A call of a running request ran on three servers though its route allows
-    two. Both that had it lost their answers. It was sent to one of them again,
-    had no room there, and went on to servers that had never had it:
+    """Guards against a call of a running request that is executed on three servers though
+    its route allows two. Both servers that have executed the call lose their answers. The
+    call is sent to one of them again, finds no room there, and goes on to servers that
+    have never had it:
       E1310 request_retried after=broken given=1 handed_back=0
       E1310 request_retried after=broken given=2 handed_back=0
       E1310 request_retried after=busy given=2 handed_back=1
       E1310 request_retried after=busy given=2 handed_back=2
-    An attempt that reached no server was free to go to any other, whatever had
-    gone before. And the server that the call was sent to again was chosen among
-    all it had been to, also those that had handed it back and never run it."""
+    This happens if an attempt that reached no server may be retried at any other server,
+    whatever the earlier attempts did, and if the server for the retry is chosen among all
+    servers that the call was sent to, including those that returned it unexecuted."""
     node, backs = f.nodes["front"][0], f.nodes["back"]
 
     def ran(rid):
@@ -489,25 +497,26 @@
             return None
         if runs(f, rid) == 2 and rid == "back.1":
             await backs[0].server.start()
-            await asyncio.sleep(0.7)  # until its node gives it work again
+            await asyncio.sleep(0.7)  # until its node sends it requests again
         elif runs(f, rid) == 2:
             for server in ran(rid):
                 server.stop()
         return "lost"
 
     async def ask(rid, tried):
-        """The answer's status and the servers that ran it; @tried was logged."""
+        """Returns the answer's status and the servers that executed the request, after the
+        node has logged @tried for the request."""
         a = await node.caller().ask("GET", "/leaf/1", rid)
         await until(lambda: [line for line in node.logged("request_retried")
                              if f"id={rid} " in line and tried in line], bool, 2)
         return a.status, [s.id for s in ran(rid)]
     for n in backs:
         n.server.behave = lose
-    for i in range(400):  # they earn the allowance for repeats, whatever the rank
+    for i in range(400):  # these earn the retry allowance, whatever the rank
         await node.caller().ask("GET", "/leaf/1", f"w{i}")
-    backs[0].server.stop()  # the nearest: it is asked first and hands the call back
+    backs[0].server.stop()  # the nearest: chosen first, returns the call unexecuted
     told = [await ask("back.1", "given=0 handed_back=1")]
-    await asyncio.sleep(1)  # it counts as well again
+    await asyncio.sleep(1)  # until it counts as healthy again
     told.append(await ask("used.1", "given=2 handed_back=1"))
     check([len(servers) for _, servers in told] == [2, 2], told)
     check([status for status, _ in told] == [200, 502], told)
@@ -515,11 +524,11 @@
 
 @test({"front": 1, "back": 2}, slots=64)
 async def test_call_kept_for_a_host_that_is_gone(f):
-    """Reads ended 502 with their server at work, in a rolling restart: a read that
-    took long was given up as another host was thought to have room. That host's
-    node had said that it takes nothing and was gone; half a second later it no
-    longer counted as lost, and the load it told last, none, looked like room.
-    Nobody was left to take the read:
+    """Guards against reads that end with 502 in a rolling restart while their server is at
+    work: a read that takes long is given up because another host is thought to have room.
+    The node of that host has announced that it accepts nothing, and has exited; half a
+    second later it no longer counts as lost, and the last load that it reported, none,
+    looks like room. No server is left to take the read:
       E1405 node_lost, then E1308 status=502 why=broken given=1 handed_back=0"""
     async def by_id(s, head, rid, stage):
         if stage == "run":
@@ -534,7 +543,7 @@
     end = time.monotonic() + 5
 
     async def quick(number):
-        """What runs usually: against it a slow read counts as stalled."""
+        """Sends the usual quick reads, compared with which a slow read counts as stalled."""
         n = 0
         while time.monotonic() < end + 1:
             n += 1
@@ -551,8 +560,9 @@
 
 @test({"front": 1, "back": 1})
 async def test_big_bodies_bounded(f):
-    """A 64 MiB upload to a server that reads slowly, and a caller that reads a
-    long answer slowly, hold no more than a few windows in memory."""
+    """Guards against nodes that buffer whole bodies: a 64 MiB upload to a server that
+    reads slowly, and a long answer to a caller that reads slowly, hold no more than a few
+    windows in memory."""
     big = b"u" * (64 << 20)
 
     async def answer(s, head, rid, stage):
@@ -581,9 +591,9 @@
 
 @test({"front": 1, "back": 1})
 async def test_cut_answer_looks_cut_to_an_old_caller(f):
-    """A caller of HTTP/1.0 took a part of an answer for the whole: the server broke off
-    an answer whose length it had not told, and the node ended its own connection in
-    order, which is how such an answer ends for that caller."""
+    """Guards against an HTTP/1.0 caller that takes a truncated answer for a complete one:
+    the server breaks off an answer without a declared length, and the node closes its own
+    connection in the normal way, which marks the end of such an answer for that caller."""
     async def cut(s, head, rid, stage):
         return ("unframed-reset", 200, b"a" * 200000) if stage == "run" else None
     f.nodes["back"][0].server.behave = cut
@@ -599,10 +609,10 @@
 
 @test({"front": 1, "back": 1})
 async def test_caller_that_pauses(f):
-    """A caller that read nothing of a long answer for a few seconds, though well
-    within its deadline, found it cut: the kernel gives up a connection whose other
-    end takes nothing for two seconds. That bound is meant for hosts that vanish; a
-    caller on this host that pauses keeps its window shut and is there all the same."""
+    """Guards against a truncated answer for a caller that reads nothing of a long answer
+    for a few seconds, well within its deadline: the kernel gives up a connection whose
+    other end accepts nothing for two seconds. That limit is meant for hosts that vanish; a
+    caller on this host that pauses keeps its window shut but is still there."""
     async def answer(s, head, rid, stage):
         return (None, 200, b"a" * (8 << 20)) if stage == "run" else None
     f.nodes["back"][0].server.behave = answer
@@ -618,7 +628,8 @@
 
 @test({"front": 1, "back": 1})
 async def test_server_that_pauses(f):
-    """As above, a server that reads nothing of a long upload for a few seconds."""
+    """Guards against a failed upload for the same reason, when a server reads nothing of a
+    long upload for a few seconds."""
     async def pause(s, head, rid, stage):
         if stage == "head" and rid == "pause":
             await asyncio.sleep(4)
@@ -632,9 +643,9 @@
       rules=[route("urgent", "/u/", "back", "unsafe", 0, 5, 0.4),
              route("plain", "/p/", "back", "safe", 2, 5, 0.4)])
 async def test_overload_order(f):
-    """Symptom: under a burst, urgent requests are refused like the others, and
-    refusals come late. Sequence: three times what the server can run. Cause:
-    first come, first served, and waiting to the deadline."""
+    """Guards against a burst in which urgent requests are rejected like the others and
+    rejections come late: three times as many requests arrive as the server can execute,
+    and they are served first come, first served, and wait until their deadline."""
     async def work(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(0.05)
@@ -662,10 +673,10 @@
              route("mid", "/mid/", "middle", "safe", 1, 2, 0.5),
              route("leaf", "/leaf/", "leaf", "safe", 1, 1, 0.3)])
 async def test_overload_refused_at_root(f):
-    """Symptom: a leaf service is over capacity, and most requests fail after
-    all the work above it. Sequence: a burst of requests that each call down to
-    the leaf twice. Cause: only the leaf refused. Calls carry the rank of their
-    request, and the node where requests begin hears of the leaf's level."""
+    """Guards against wasted work when a leaf service is over capacity: in a burst of
+    requests that each call the leaf twice, only the leaf rejects, and most requests fail
+    after all the work above the leaf. Calls carry the rank of their request, and the node
+    where requests enter receives the leaf's admission level."""
     def calls(target, times):
         async def behave(s, head, rid, stage):
             if stage != "run":
@@ -714,14 +725,14 @@
             await f.start()
         await asyncio.wait_for(fn(f), 60)
         return None
-    except BaseException:  # also an assertion inside a server's task
+    except BaseException:  # also an assertion in the task of a stand-in server
         return traceback.format_exc()
     finally:
         await f.stop()
 
 
 def known_red():
-    """Names of tests that KNOWN-RED.txt lists: a whole run passes over them."""
+    """Returns the names of tests that KNOWN-RED.txt lists: a run of all tests skips them."""
     path = os.path.join(os.path.dirname(__file__), "..", "..", "KNOWN-RED.txt")
     if not os.path.exists(path):
         return set()
--- a/tests/mesh/stores.py
+++ b/tests/mesh/stores.py
@@ -1,4 +1,4 @@
-"""Failure tests of what nodes learn from the store: configuration, servers, leases."""
+"""Failure tests of what nodes read from the store: configuration, servers, leases."""
 import asyncio
 import signal
 import time
@@ -10,12 +10,11 @@
 
 @test({"front": 1, "back": 2})
 async def test_restarted_servers_old_entries(f):
-    """Symptom: after a power failure calls of running requests end 503
-    "misdirected", and their requests with them. Sequence: servers start anew
-    with other ids at their addresses; the old entries stand a little longer
-    than it takes the new ones to come; each call is given to two old ids,
-    turned away, and refused. Cause: nobody remembered that the ids are gone,
-    so no call waited for the new entries."""
+    """Guards against calls of running requests that end with 503 "misdirected" after a
+    power failure, and their requests with them: servers restart with other ids at their
+    addresses; the old entries stay in the store a little longer than the new ones take to
+    appear; each call is sent to two old ids, rejected by both, and ends. Nodes must
+    remember that these ids are gone, so that calls wait for the new entries."""
     node = f.nodes["front"][0]
     for i, n in enumerate(f.nodes["back"]):
         n.server.id = f"i-back-{i}-anew"
@@ -32,9 +31,9 @@
 
 @test({"front": 1, "back": 2})
 async def test_drain(f):
-    """Symptom: a leaving server still gets requests. Sequence: its entry says
-    draining, or is removed, while requests go on. Cause: lists read too
-    seldom, or work queued beside it."""
+    """Guards against requests that reach a server after it has left: its entry says
+    draining, or is removed, while requests continue, and nodes read the server list too
+    seldom, or requests are queued at its node."""
     node = f.nodes["front"][0]
     stop = []
 
@@ -63,9 +62,9 @@
 
 @test({"front": 1, "back": 1, "other": 1})
 async def test_address_reused(f):
-    """Symptom: a request runs at a server of another service. Sequence: a
-    server ends, its address goes to another service, the entry is still there.
-    Cause: a server was known by its address. Its id tells."""
+    """Guards against a request that is executed at a server of another service: a server
+    exits, its address goes to another service, and the old entry is still there. A server
+    is identified by its id, not by its address."""
     node = f.nodes["back"][0]
     node.server.stop()
     new = fl.standin.Server("i-new", "other", node.ip, fl.BACKEND)
@@ -79,8 +78,9 @@
 
 @test({"front": 2, "back": 1})
 async def test_config(f):
-    """A configuration is in force on every node within two seconds; a removed
-    route is refused, an added one served; an older version changes nothing."""
+    """Guards against nodes that apply a configuration late or partly: it is in force on
+    every node within two seconds. A removed route is rejected, an added one is served,
+    and an older version changes nothing."""
     rules = [route("get", "/get/", "back"), route("new", "/new/", "front")]
     f.store.put("op/config", config(5, rules))
     await asyncio.sleep(1.9)
@@ -102,10 +102,10 @@
 
 @test({"front": 2, "back": 3}, relays=True)
 async def test_store_refuses_some(f):
-    """Symptom: a node that the store turns away serves by an old
-    configuration and an old list. Sequence: 503 for two nodes, then changes.
-    Cause: each node knew only what it read itself. Which nodes read follows
-    from their addresses, so one that does is always among those turned away."""
+    """Guards against a node that serves by an old configuration and an old server list
+    when the store rejects its reads: the store answers 503 to two nodes and then changes,
+    and each node knows only what it read itself. Which nodes read follows from their
+    addresses; the two rejected nodes always include a reader."""
     readers = await until(lambda: reading(f), lambda r: len(r) == 2)
     asked = f.nodes["front"][0]
     other = f.nodes["back"][2] if asked in readers else readers[0]
@@ -125,7 +125,7 @@
 
 
 async def ask_for(f, seconds, prefix):
-    """A read every 20 ms; (time, status) of those that were not answered well."""
+    """Sends a read every 20 ms; returns (time, status) of each that was not answered 200."""
     bad, i, end = [], 0, time.monotonic() + seconds
     node = f.nodes["front"][0]
     while time.monotonic() < end:
@@ -139,10 +139,10 @@
 
 @test({"front": 2, "back": 3}, relays=True)
 async def test_lapsed_leases_used_on(f):
-    """Symptom: a service is without servers for seconds though all of them live
-    and can be reached. Sequence: their hosts are cut off from the store, their
-    entries lapse; the cut heals, the entries are back. Cause: an entry that is
-    missing was taken for a server that left."""
+    """Guards against a service that has no servers for seconds although all of them live
+    and can be reached: their hosts are partitioned from the store and their entries
+    lapse, until the partition heals and the entries return. A missing entry alone must
+    not be taken for a server that left."""
     backs = f.nodes["back"]
     f.store.refused = {n.store_relay.addr[0] for n in backs}
     await asyncio.sleep(1.5)
@@ -163,10 +163,10 @@
 
 @test({"front": 2, "back": 3}, relays=True)
 async def test_silent_leaver(f):
-    """Symptom: a server that left without reporting a drain gets work after its
-    drain time. Sequence: its entry is removed; its node is up and reads the
-    store; the server is healthy still. Cause: contact with the node was taken
-    as a sign that the server stays."""
+    """Guards against work for a server after its drain time when the server left without
+    reporting a drain: its entry is removed, while its node is up and reads the store and
+    the server still passes health checks. Contact with the node must not be taken as a
+    sign that the server stays."""
     leaver = f.nodes["back"][0].server
     f.store.remove("servers/" + leaver.id)
     since = time.monotonic()
@@ -177,8 +177,8 @@
 
 
 async def used_behind_cut(f):
-    """A node whose host is cut off from the store and whose server's entry has
-    lapsed; the server is used on."""
+    """Returns a node whose host is partitioned from the store and whose server's entry
+    has lapsed; checks that the server still gets requests."""
     node = f.nodes["back"][0]
     f.store.refused = {node.store_relay.addr[0]}
     await asyncio.sleep(1.5)
@@ -190,9 +190,10 @@
 
 @test({"front": 2, "back": 3}, relays=True)
 async def test_leaver_behind_cut(f):
-    """Symptom: work goes to a server that is leaving behind a cut. Sequence: its
-    host is cut off, its entry lapses, its node vouches for it; then it leaves,
-    which only its health check says. Cause: nothing ended the node's word."""
+    """Guards against work for a leaving server whose host is partitioned from the store:
+    its entry lapses, its node asserts that it is alive, then the server leaves, and only
+    its health check reports that. The health check must end the node's liveness
+    assertion."""
     node = await used_behind_cut(f)
     node.server.leaving = True
     since = time.monotonic()
@@ -203,10 +204,10 @@
 
 @test({"front": 2, "back": 3}, relays=True)
 async def test_mute_server_behind_cut(f):
-    """Symptom: work goes on and on to a server that nobody has heard of for
-    seconds. Sequence: its host is cut off, its entry lapses, its node vouches
-    for it; then its health checks get no answer. Cause: the word once given
-    stood in every status, though nothing renewed it."""
+    """Guards against work that continues for a server from which nothing has been received
+    for seconds: its host is partitioned from the store, its entry lapses, its node asserts
+    that it is alive, then its health checks get no answer. The node must not repeat a
+    liveness assertion in every status when nothing renews it."""
     node = await used_behind_cut(f)
     node.server.mute = True
     since = time.monotonic()
@@ -217,9 +218,9 @@
 
 @test({"front": 1, "back": 2})
 async def test_same_id_started_anew(f):
-    """Symptom: a server that drained and started again under its id never gets
-    work. Sequence: drain, exit, a new process with the same id and a later
-    start. Cause: a drain was never taken back, whoever reported it."""
+    """Guards against a server that never gets work after it drained and restarted under
+    its id: it drains and exits, and a new process registers with the same id and a later
+    start. A later start must cancel the drain, whoever reported the drain."""
     server = f.nodes["back"][0].server
     server.born, server.draining = 1000, True
     f.register(server)
@@ -235,10 +236,10 @@
 
 @test({"front": 1, "back": 2})
 async def test_entries_of_other_writers(f):
-    """Symptom: a living server gets no work, or requests go nowhere. Sequence:
-    entries appear that another writer made: bytes that are no JSON, fields of
-    another type, an unknown state, a living server's address with a service
-    that no configuration names. Cause: defaults in place of what was spoiled."""
+    """Guards against a living server that gets no work, or requests that are sent nowhere,
+    when another writer adds entries to the store: bytes that are not JSON, fields of
+    another type, an unknown state, a living server's address with a service that no
+    configuration names. Invalid fields must not be replaced by defaults."""
     good = f.nodes["back"][0].server.entry()
     forged = {"x-text": b"\xff\xfe", "x-list": b"[]",
               "x-state": {**good, "status": {**good["status"], "state": "asleep"}},
@@ -262,18 +263,18 @@
 
 @test({"back": 5}, relays=True)
 async def test_returning_reader(f):
-    """Symptom: a server that left gets requests from every node for over two
-    seconds. Sequence: the store turns the two readers away and serves the
-    others; the entry of a server beside a reader is removed; the readers are
-    let in again. Cause: the readers took it for an outage of the store and let
-    the missing entry count, also the node beside that server."""
+    """Guards against a server that left but gets requests from every node for over two
+    seconds: the store rejects the two readers and serves the others; the entry of a server
+    beside a reader is removed; then the readers are admitted again. The readers, also the
+    node beside that server, must not take this for an outage of the store and keep
+    the removed entry in force."""
     readers = await until(lambda: reading(f), lambda r: len(r) == 2)
     f.store.refused = {n.store_relay.addr[0] for n in readers}
     await asyncio.sleep(3)
     leaving = readers[0]
     f.store.remove("servers/" + leaving.server.id)
     since = time.monotonic()
-    # a change the readers have not seen either makes them publish a list
+    # another change that the readers have not seen makes them publish a list
     extra = fl.standin.Server("i-extra", "other", f"127.{f.net}.0.99", fl.BACKEND)
     f.register(extra)
     await asyncio.sleep(0.3)
@@ -291,9 +292,10 @@
 
 @test({"front": 2, "back": 2})
 async def test_store_away(f):
-    """Symptom: an outage of the store stops the traffic, or its return does.
-    Sequence: the store is silent for three seconds, entries lapse meanwhile,
-    it returns, servers write again a second later. Cause: missing was gone."""
+    """Guards against an outage of the store, or the end of one, that stops the traffic:
+    the store is silent for three seconds, entries lapse meanwhile, the store returns, and
+    servers write their entries again a second later. A missing entry must not be taken
+    for a server that is gone."""
     f.store.mode = "silent"
     f.beats.cancel()
     for n in f.all():
@@ -316,7 +318,8 @@
 
 @test({"front": 1, "back": 1})
 async def test_store_compacted(f):
-    """The store drops its history: the node reads everything anew."""
+    """Guards against a node that misses changes when the store drops its history: the
+    node reads everything again."""
     f.store.mode = "503"
     await asyncio.sleep(0.3)
     f.store.put("op/config", config(7, [route("new", "/new/", "front")]))
@@ -329,8 +332,8 @@
 
 @test({"front": 2, "back": 2}, start=False)
 async def test_store_down_at_start(f):
-    """A node that starts while the store is away is not ready and answers 503,
-    not 404; it serves when the store is back."""
+    """Guards against 404 from a node that starts during an outage of the store: the node
+    is not ready and answers 503 until the store is back, then it serves."""
     f.store.mode = "503"
     await f.start(wait=False)
     node = f.nodes["front"][0]
@@ -345,8 +348,9 @@
 
 @test({"front": 3, "back": 3})
 async def test_few_read_the_store(f):
-    """Two nodes read the store for all; when both are stopped the others read
-    in time for a change to be in force within two seconds."""
+    """Guards against a store that is loaded by every node, and against late changes when
+    the nodes that read it fail: two nodes read the store for all; when both are paused,
+    others read it early enough for a change to be in force within two seconds."""
     await asyncio.sleep(4)
     before, start = f.store.calls, time.monotonic()
     await asyncio.sleep(3)
