--- a/tests/mesh/fleet.py
+++ b/tests/mesh/fleet.py
@@ -85,7 +85,7 @@
         self.proc.send_signal(sig)
 
     def handles(self, sig):
-        """Whether the process blocks or catches the signal: main() has begun."""
+        """Returns whether the process blocks or catches the signal, that is, main() has begun."""
         bit = 1 << (sig - 1)
         try:
             with open(f"/proc/{self.proc.pid}/status", encoding="utf-8") as f:
@@ -138,7 +138,7 @@
 
 
 class Fleet:
-    """`layout`: {service: count}; nodes are self.nodes[service][i]."""
+    """`layout` is {service: count}; the nodes are self.nodes[service][i]."""
 
     def __init__(self, net, layout, slots=16, rules=None, relays=False, tenants=None):
         self.dir = tempfile.mkdtemp(prefix="lwmesh-")
@@ -147,7 +147,7 @@
         self.nodes = {}
         self.callers = []
         self.rules = rules
-        self.tenants = tenants  # of each configuration; None: it names none
+        self.tenants = tenants  # in each configuration; None: the key is left out
         self.beats = None
         number = 0
         for service, count in layout.items():
@@ -163,8 +163,8 @@
                     self.put_relays(node, number)
 
     def put_relays(self, node, number):
-        """The server and the node's mesh address stand on the relay's IP, so
-        that other nodes reach the node through it."""
+        """Puts the server and the node's mesh address on the relay's IP address, so that
+        other nodes reach the node through the relay."""
         node.server.ip = f"127.{self.net}.1.{number}"
         node.relay = Relay(node.server.ip, MESH, node.ip, MESH)
         node.store_relay = Relay(f"127.{self.net}.2.{number}", STORE,
@@ -222,7 +222,7 @@
 
 
 async def until(get, good, timeout=5, step=0.05):
-    """Poll `get` (plain or coroutine function) until `good` says so."""
+    """Polls `get` (plain or coroutine function) until `good` accepts its value."""
     loop = asyncio.get_event_loop()
     end = loop.time() + timeout
     while True:
--- a/tests/mesh/harness.py
+++ b/tests/mesh/harness.py
@@ -1,4 +1,4 @@
-"""What the failure tests share: their registry, and what they look at."""
+"""Shared parts of the failure tests: the registry of tests and helpers for checks."""
 
 TESTS = []
 
@@ -12,7 +12,7 @@
 
 
 def runs(f, rid):
-    """How often a request ran, on all servers."""
+    """Returns how often a request was executed, on all servers."""
     return sum(r == rid for n in f.all() for _, r in n.server.ran)
 
 
--- a/tests/mesh/moves.py
+++ b/tests/mesh/moves.py
@@ -6,7 +6,8 @@
 
 @test({"front": 2, "back": 2}, slots=4)
 async def test_moved_read_waits_for_its_server(f):
-    """A read that was given up at a slow server ends 502 where the next one has no place for it at once."""
+    """Guards against a read that ends with 502 because it was given up at a slow server and
+    the next server has no free slot at once."""
     stalled = []
 
     async def work(s, head, rid, stage):
--- a/tests/mesh/news.py
+++ b/tests/mesh/news.py
@@ -1,4 +1,4 @@
-"""Failure tests of how news from the store spreads among many nodes."""
+"""Failure tests of the dissemination of store updates among many nodes."""
 import asyncio
 import signal
 
@@ -14,7 +14,8 @@
 
 
 async def in_force(f, nodes, version, seconds):
-    """Waits until the nodes have the configuration; fails after that time."""
+    """Waits until the nodes have the configuration; fails if a node takes longer than
+    `seconds`."""
     for n in nodes:
         await until(lambda n=n: n.metric("lw_config_version"), lambda v: v == version, seconds)
 
@@ -29,7 +30,8 @@
 
 @test({"front": 12, "back": 12})
 async def test_large_config_is_spread_by_many(f):
-    """One host sends a large configuration to every other one, and its link carries nothing else for seconds."""
+    """Guards against a host whose link carries nothing else for seconds, because it sends a
+    large configuration to every other host itself."""
     doc = config(5, many_routes(900))
     await asyncio.sleep(2)
     before = await bytes_out(f.all())
@@ -43,7 +45,8 @@
 
 @test({"front": 12, "back": 12}, start=False)
 async def test_a_start_costs_one_call(f):
-    """Hosts that start together ask the store again and again, though two of them read for all."""
+    """Guards against hosts that start together and read the store repeatedly although two
+    of them read it for all."""
     await f.start()
     await asyncio.sleep(3)
     check(f.store.calls <= 24 + 3 * 4.5 + 8, f.store.calls)
@@ -51,7 +54,8 @@
 
 @test({"front": 12, "back": 12}, start=False)
 async def test_a_cold_start_costs_two_calls(f):
-    """Hosts that start before there is anything in the store ask it again and again."""
+    """Guards against hosts that start while the store is still empty and then read it
+    repeatedly."""
     await f.store.start(f"127.{f.net}.0.250", STORE)
     for n in f.all():
         await n.server.start()
@@ -67,19 +71,20 @@
     await f.until_ready()
     await asyncio.sleep(2)
     seconds = asyncio.get_event_loop().time() - began
-    # one finds nothing, one all, and two a second are of those that read for others
+    # per host, one read finds nothing and one everything; readers for others make 2 per second
     check(f.store.calls <= 24 * 2 + seconds * 4.5, (f.store.calls, round(seconds, 1)))
 
 
 @test({"front": 12, "back": 12})
 async def test_an_outage_costs_few_calls(f):
-    """In an outage of the store every host of the fleet asks it again and again."""
+    """Guards against a fleet in which every host retries the store repeatedly during an
+    outage of the store."""
     await asyncio.sleep(2)
     f.store.mode = "503"
     await asyncio.sleep(1)
     before = f.store.calls
     await asyncio.sleep(6)
-    # two a second of those that read for others, one in two seconds of the rest
+    # 2 reads per second by each reader for others, one in 2 s by each other host
     check(f.store.calls - before <= 6 * (4 * 2 + 20 / 2), f.store.calls - before)
     f.store.mode = "ok"
     f.store.put("op/config", config(8, many_routes(10)))
@@ -88,7 +93,8 @@
 
 @test({"front": 12, "back": 12})
 async def test_news_past_hosts_that_stand_still(f):
-    """A change is late where the hosts that read the store and those that pass news on stand still."""
+    """Guards against a change that arrives late because the hosts that read the store and
+    some of those that forward its updates are paused."""
     await asyncio.sleep(1)
     still = await readers(f)
     still += [n for n in f.all()[::3] if n not in still]
@@ -100,7 +106,8 @@
 
 @test({"front": 1, "back": 2})
 async def test_older_node_hears_and_is_heard(f):
-    """In a rolling upgrade a node of the older version is left without news, or its news is not taken."""
+    """Guards against a rolling upgrade in which a node of the older version gets no store
+    updates, or its updates are not accepted."""
     old = olderpeer.Peer(f.nodes["front"][0].ip)
     await old.connect()
     await until(lambda: old.config, lambda c: c == 1)
@@ -114,7 +121,8 @@
 
 @test({"front": 1, "back": 2}, start=False)
 async def test_older_node_heard_before_the_store(f):
-    """A node that starts without the store ends when a node of the older version names its list."""
+    """Guards against a node that starts without the store and exits when a node of the
+    older version announces its server list."""
     f.store.mode = "503"
     await f.start(wait=False)
     node = f.nodes["front"][0]
--- a/tests/mesh/olderpeer.py
+++ b/tests/mesh/olderpeer.py
@@ -1,5 +1,5 @@
-"""A node of the version before documents were fetched in pieces: it is sent whole
-documents, and sends whole ones. Only the fields that the tests look at."""
+"""A stand-in for a node of the version before documents were transferred in chunks: it
+receives and sends whole documents. It has only the fields that the tests check."""
 import asyncio
 import json
 
--- a/tests/mesh/relay.py
+++ b/tests/mesh/relay.py
@@ -1,23 +1,24 @@
-"""A loopback relay that can delay, reset, silence, refuse, keep back or swallow one way."""
+"""A loopback relay that can delay, reset, silence, refuse, hold back or drop traffic,
+also in one direction only."""
 import asyncio
 
 
 class Relay:
-    """Forwards TCP from one address to another, with faults."""
+    """Forwards TCP connections from one address to another, with faults."""
 
     def __init__(self, ip, port, to_ip, to_port):
         self.addr, self.to = (ip, port), (to_ip, to_port)
         self.delay = 0.0
-        self.mute = set()  # directions "in", "out" that are swallowed
-        # directions that are kept back until release(), but for the first words
-        # on a connection: before them the other side sends nothing
+        self.mute = set()  # directions "in", "out" whose data is dropped
+        # directions that are held back until release(), except for the first data on
+        # a connection, without which the other side sends nothing
         self.kept = set()
-        self.waiting = []  # what is kept back, in the order it began to be
+        self.waiting = []  # futures of the pumps that hold data back, oldest first
         self.refuse = False
-        self.hold_new = False  # new connections bring nothing in until let_go()
+        self.hold_new = False  # new connections forward nothing inwards until let_go()
         self.held = []
         self.pairs = set()
-        self.last = None  # the connection begun last
+        self.last = None  # the connection that was opened last
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, *self.addr)
@@ -27,7 +28,7 @@
             writer.transport.abort()
             return
         try:
-            # from its own address, so that the other end can tell the relays apart
+            # from the relay's own address, so that the other end can distinguish relays
             r2, w2 = await asyncio.open_connection(*self.to, local_addr=(self.addr[0], 0))
         except OSError:
             writer.transport.abort()
@@ -37,7 +38,7 @@
         try:
             await asyncio.gather(self.pump(reader, w2, "in"), self.pump(r2, writer, "out"))
         except asyncio.CancelledError:
-            pass  # the soak is over
+            pass  # the soak test has ended
         self.pairs.discard(pair)
 
     async def pump(self, reader, writer, way):
@@ -65,7 +66,8 @@
             writer.close()
 
     async def keep(self, reader, data):
-        """All that comes until release(); an end or reset shows at the next read."""
+        """Collects all data that arrives until release(), then returns it; the end or a reset
+        of the connection shows at the next read."""
         let_go = asyncio.get_event_loop().create_future()
         self.waiting.append(let_go)
         while data and not let_go.done():
@@ -82,14 +84,14 @@
         return data
 
     async def release(self):
-        """Let go what was kept back, connection by connection."""
+        """Forwards what was held back, one connection after the other."""
         self.kept.clear()
         while self.waiting:
             self.waiting.pop(0).set_result(None)
             await asyncio.sleep(0.01)
 
     def let_go(self):
-        """Let go what new connections brought."""
+        """Forwards what arrived on the new connections that are held."""
         while self.held:
             self.held.pop().set_result(None)
 
@@ -98,7 +100,7 @@
             self.reset(pair)
 
     def reset_last(self):
-        """The connection begun last."""
+        """Resets the connection that was opened last."""
         self.reset(self.last)
 
     @staticmethod
@@ -107,7 +109,7 @@
             w.transport.abort()
 
     def silence_open(self):
-        """Connections now open go silent for good; new ones work."""
+        """Permanently silences the connections that are open now; new ones work."""
         for a, b in list(self.pairs):
             for w in (a, b):
                 w.transport.pause_reading()
--- a/tests/mesh/standin.py
+++ b/tests/mesh/standin.py
@@ -1,6 +1,5 @@
-"""Stand-ins for what a proxy meets on the platform: the store, a backend
-server and a caller, each on loopback and within one event loop, with the
-faults that the failure tests need."""
+"""Stand-ins for the platform around a proxy: the store, backend servers and callers,
+on loopback and in one event loop, with the faults that the failure tests need."""
 import asyncio
 import base64
 import json
@@ -8,7 +7,7 @@
 
 
 class Store:
-    """The platform's metadata store: reads, ranges with pages, watches."""
+    """The platform's metadata store: reads, paged ranges and watches."""
 
     def __init__(self, page=50):
         self.items = {}
@@ -17,7 +16,7 @@
         self.oldest = 0
         self.page = page
         self.mode = "ok"  # ok, silent, 503, 429, reset
-        self.refused = set()  # IPs that are turned away
+        self.refused = set()  # IP addresses that get 503
         self.turned_away = 0
         self.calls = 0
         self.changed = asyncio.Event()
@@ -27,7 +26,8 @@
         return dict(self.items), self.revision, list(self.log)
 
     def restore(self, copy):
-        """Comes back from a copy: what was written since is gone, its revisions are given out again."""
+        """Restores the store from a copy: later writes are lost, and their revisions are
+        assigned again."""
         self.items, self.revision, self.log = dict(copy[0]), copy[1], list(copy[2])
         self.era += 1
         self.changed.set()
@@ -130,7 +130,7 @@
 
 
 async def read_body(reader, head, answer=False):
-    """The whole body; raises IncompleteReadError if it is cut."""
+    """Returns the whole body; raises IncompleteReadError if it is truncated."""
     if (head.get("transfer-encoding") or "").lower() == "chunked":
         out = b""
         while True:
@@ -145,8 +145,8 @@
 
 
 class Server:
-    """A backend server. `behave` decides per request: a coroutine that may
-    sleep, call through the proxy, or name a fault."""
+    """A backend server. The coroutine `behave` is called for each request at the stages
+    "head" and "run"; it may sleep, call through the proxy, or return a fault's name."""
 
     def __init__(self, sid, service, ip, port, zone="zone-a", slots=16):
         self.id, self.service, self.ip, self.port = sid, service, ip, port
@@ -160,11 +160,11 @@
         self.accepted = 0
         self.behave = None
         self.draining = False
-        self.leaving = False  # as its health check says
-        self.born = None  # start of its process, Unix ms; None: not told
+        self.leaving = False  # health checks are answered 503
+        self.born = None  # start of its process, Unix ms; None: not reported
         self.checks = 0  # health checks answered
         self.mute = False  # health checks get no answer
-        self.says = []  # header lines of all its answers, health checks too
+        self.says = []  # header lines added to all its answers, also to health checks
         self.open = []
 
     async def start(self):
@@ -241,18 +241,18 @@
         return await self.respond(writer, rid, fault, status, data)
 
     async def watch_close(self, reader, work):
-        """A caller that closes its connection ends the work."""
+        """Cancels the work when the caller closes its connection."""
         await self.closed(reader)
         work.cancel()
 
     async def closed(self, reader):
         while not reader.at_eof():
             await asyncio.sleep(0.01)
-            if reader._eof or reader.exception():  # no public way to look without reading
+            if reader._eof or reader.exception():  # no public way to check without reading
                 break
 
     async def until_closed(self, reader):
-        """No answer comes; the place is free again once the caller has closed the connection."""
+        """Sends no answer; the slot is free again once the caller has closed the connection."""
         await self.closed(reader)
         raise ConnectionError
 
