--- a/tests/mesh/run.py
+++ b/tests/mesh/run.py
@@ -560,9 +560,9 @@
 
 @test({"front": 1, "back": 1})
 async def test_big_bodies_bounded(f):
-    """Guards against nodes that buffer whole bodies: a 64 MiB upload to a server that
-    reads slowly, and a long answer to a caller that reads slowly, hold no more than a few
-    windows in memory."""
+    """Guards against nodes that buffer whole bodies: a 64 MiB upload goes to a server that
+    reads slowly, and a long answer to a caller that reads slowly. A node holds no more
+    than a few windows of either in memory."""
     big = b"u" * (64 << 20)
 
     async def answer(s, head, rid, stage):
