--- a/tests/mesh/fates.py
+++ b/tests/mesh/fates.py
@@ -1,5 +1,5 @@
-"""Failure tests of what becomes of requests whose connection between two hosts
-went silent or was lost: the peer is asked over another one."""
+"""Failure tests of requests whose connection between two hosts went silent or was lost:
+the peer is asked for their outcome over another connection."""
 import asyncio
 import collections
 import os
@@ -12,7 +12,8 @@
 
 
 async def lose_connections(f, lose):
-    """One order runs at the server, others are sent just after the loss."""
+    """One order is executed at the server while @lose happens; others are sent just
+    after the loss."""
     async def slow(s, head, rid, stage):
         if stage == "run" and rid == "running":
             await asyncio.sleep(1)
@@ -35,28 +36,28 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_silent_connections(f):
-    """Symptom: a wave of 502 and 504 although all servers are well. Sequence:
-    something between the hosts loses track of open connections; new ones
-    work. Cause: requests on them were waited for, or ended as "may have run".
-    The peer is asked on a new connection what became of them."""
+    """Guards against a wave of 502 and 504 although all servers are healthy: something
+    between the hosts loses track of open connections while new ones work, and requests
+    on the old ones are waited for, or ended as "may have been executed". The peer is
+    asked for their outcome on a new connection."""
     await lose_connections(f, lambda relay: relay.silence_open())
     check(await f.nodes["front"][0].metric("lw_link_queries_total") >= 1, "nobody asked")
 
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_connections_reset(f):
-    """Symptom: orders fail when connections between hosts are reset. Sequence:
-    the order runs at its server, the connection between the nodes is reset.
-    Cause: the node beside the server gave it up at once, the other one too."""
+    """Guards against orders that fail when connections between hosts are reset: the
+    order is executed at its server, the connection between the nodes is reset, and both
+    nodes give the order up at once."""
     await lose_connections(f, lambda relay: relay.reset_all())
 
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_connections_reset_at_a_stopping_node(f):
-    """An order that ran at its server ended 502: the connection between the
-    nodes was reset, and as the node beside the server was stopping it gave the
-    order up at once instead of waiting to be asked for it. The same reset
-    without a stop is answered 200."""
+    """Guards against a 502 for an order in execution when the connection between the
+    nodes is reset while the node beside the server is stopping: that node gave the
+    order up at once instead of waiting for an outcome query. The same reset without a
+    stop is answered 200."""
     def stop_and_reset(relay):
         node = next(n for n in f.nodes["back"] if n.relay is relay)
         if runs_at(node, "running"):
@@ -66,8 +67,9 @@
 
 
 async def upload_to_first(f, rid):
-    """An upload that takes a while at the first server of "back", behind much
-    else on the same connection. The second server takes work only afterwards."""
+    """Returns two functions. The first starts an upload that takes a while at the first
+    server of "back", behind other data on the same connection; the second lets the
+    second server accept requests."""
     node, (first, second) = f.nodes["front"][0], f.nodes["back"]
     shut = True
 
@@ -93,14 +95,14 @@
 
 @test({"front": 1, "back": 2})
 async def test_moved_then_node_ends(f):
-    """An upload was sent to a host that stood still, and ran there when the host
-    woke. Its sender had asked over a new connection what became of it, and was
-    told that it runs and goes on over that connection. Then the process beside
-    the server ended. The sender compared the place of the upload among the bytes
-    of the first connection with what it had written to the second one, took it
-    for unsent and gave it to another server, where it ran again: "E1410
-    fate_heard moved=2", then "E1411 link_ended streams=2 unsent=2 moved_here=2
-    written=43795" and "E1310 request_retried after=unsent given=0"."""
+    """Guards against an upload that is executed twice: it is sent to a paused host and
+    executed there when the host resumes; its sender has asked for the outcome over a
+    new connection and is told that the upload is being executed and continues on that
+    connection (moved). Then the process beside the server ends. If the sender compares
+    the upload's position in the first connection with what it wrote to the second one,
+    it takes the upload for unsent and sends it to another server (log: E1410 fate_heard
+    moved=, E1411 link_ended unsent= moved_here=, E1310 request_retried
+    after=unsent)."""
     node, host = f.nodes["front"][0], f.nodes["back"][0]
     begin, second_takes = await upload_to_first(f, "moved")
     host.signal(signal.SIGSTOP)
@@ -118,16 +120,16 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_questions_cross(f):
-    """An upload ran at a host from which nothing came for a while. Its sender
-    asked after it over a second connection, and when that was silent too, over a
-    third one after what it had sent on the second. The host moved the upload to
-    the second connection, then closed that one, as the sender had asked after it
-    and had not named the upload, which it did not yet know to be there. The
-    sender never asked again, took the upload for unsent and it ran elsewhere:
-    "E1410 fate_heard over=cb61c883 moved=2", "E1407 link_lost link=cb61c883
-    silent=1 streams=3", no further "E1408 fate_asked" for it, then "E1411
-    link_ended link=cb61c883 unsent=2 moved_here=2". Here the link from the host is
-    held up instead of the host, so that all comes in the order of its sending."""
+    """Guards against an upload that is executed twice when outcome queries cross:
+    nothing arrives from its host for a while. The sender asks for the outcome over a
+    second connection and, when that is silent too, over a third one for what it sent on
+    the second. The host has moved the upload to the second connection, and closes that
+    one, because the query about it does not name the upload, which the sender does not
+    know to be there yet. If the sender does not ask again, it takes the upload for
+    unsent (log: E1410 fate_heard moved=, E1407 link_lost silent=1, no further E1408
+    fate_asked, then E1411 link_ended unsent= moved_here=). The test delays the data
+    from the host instead of pausing the host, so that everything arrives in the order
+    of sending."""
     node, host = f.nodes["front"][0], f.nodes["back"][0]
     begin, second_takes = await upload_to_first(f, "moved")
     upload = begin()
@@ -137,7 +139,7 @@
     tasks = []
 
     async def behind():
-        """Calls that go out over the second connection."""
+        """Sends calls over the second connection."""
         while len(node.logged("fate_asked")) < 2:
             c = node.caller()
             tasks.append(asyncio.ensure_future(
@@ -155,10 +157,11 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_left_while_moving(f):
-    """A server works on for a caller that is gone. Nothing came from the host for
-    a moment, the sender asked after an upload over a new connection and the host
-    moved it there. The caller left before the sender heard that, and what told
-    the host so went over the first connection, which the host had closed."""
+    """Guards against a server that works on for a caller that has disconnected: nothing
+    arrives from the host for a moment, the sender asks for the outcome of an upload
+    over a new connection, and the host moves the upload there. The caller disconnects
+    before the sender has heard of the move, so the cancellation goes over the first
+    connection, which the host has closed."""
     node, host = f.nodes["front"][0], f.nodes["back"][0]
     begin, _ = await upload_to_first(f, "left")
     upload = begin()
@@ -174,7 +177,8 @@
 
 
 async def order_and_outcome(f, rid, lose):
-    """An order that runs at the first host; @lose happens while it does."""
+    """Returns the answer to an order that is executed at the first host; @lose happens
+    meanwhile."""
     begin, second_takes = await upload_to_first(f, rid)
     order = begin()
     await until(lambda: runs(f, rid), lambda n: n == 1)
@@ -185,13 +189,12 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_question_lost_with_its_connection(f):
-    """An order ended 504 although its server had answered in time. Its connection
-    went silent while the host beside the server stood still. The question what
-    became of it waited on a new connection for the host's first words; without them
-    that connection was given up, and the question with it. Nobody asked again: "E1406
-    link_silent streams=1", "E1408 fate_asked streams=1 lost=0 new=1", and no line about
-    that connection after it. The host woke, its server answered, and the answer went
-    out on the silent connection."""
+    """Guards against a 504 for an order whose server answered in time: its connection
+    goes silent while the host beside the server is paused. The outcome query waits on a
+    new connection for the host's first bytes; without them that connection is given up,
+    and the query with it. If nobody asks again, the host resumes and the answer goes
+    out on the silent connection (log: E1406 link_silent streams=1, E1408 fate_asked
+    streams=1 lost=0 new=1, and no line about that connection after it)."""
     async def silent_and_frozen(host):
         host.relay.silence_open()
         host.signal(signal.SIGSTOP)
@@ -203,12 +206,11 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_reset_while_the_host_stands_still(f):
-    """An order ended 502 half a second after its connection was reset, with its
-    server at work: the host beside the server stood still for a moment and did not
-    answer the question what became of the order in 0.6 s. That was taken for the end
-    of the host: "E1407 link_lost heard=1", "E1408 fate_asked lost=1 new=1", then
-    "E1411 link_ended streams=1 unsent=0 waited_ms=643" and "E1308 status=502
-    why=broken given=1"."""
+    """Guards against a 502 half a second after an order's connection was reset, while
+    its server executes it: the host beside the server is paused for a moment and does
+    not answer the outcome query in 0.6 s, which must not count as the end of the host
+    (log: E1407 link_lost heard=1, E1408 fate_asked lost=1 new=1, E1411 link_ended
+    waited_ms=643, E1308 status=502 why=broken given=1)."""
     async def reset_and_frozen(host):
         host.signal(signal.SIGSTOP)
         host.relay.reset_all()
@@ -220,9 +222,10 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_unread_order_goes_elsewhere(f):
-    """An order ended 502 though no server ever had it: it lay unread in a host that
-    stood still, and its connection was reset there. As above the wait for the host's
-    word ended too soon: "E1411 link_ended streams=1 unsent=0 waited_ms=692"."""
+    """Guards against a 502 for an order that no server received: it lies unread in a
+    paused host, and its connection is reset there. As in the test above, the wait for
+    the host's answer ended too soon (log: E1411 link_ended streams=1 unsent=0
+    waited_ms=692)."""
     begin, second_takes = await upload_to_first(f, "unread")
     host = f.nodes["back"][0]
     host.signal(signal.SIGSTOP)
@@ -237,9 +240,9 @@
 
 
 async def two_orders_behind(f):
-    """One order's connection is silent, and it moved to a second one on which
-    another order runs; nothing that the host says is let through. Returns both
-    and the caller of the first."""
+    """The connection of one order is silent, and the order moved to a second connection
+    on which another order is executed; nothing that the host sends is let through.
+    Returns both orders and the caller of the first."""
     host = f.nodes["back"][0]
     begin, _ = await upload_to_first(f, "first")
     first = begin()
@@ -265,12 +268,13 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_another_lost_connection_ends_no_wait(f):
-    """An order ended 502 with its answer on the way. Its connection was reset and the
-    host was asked after it over a new one. Before the host's word came, an older
-    silent connection to the same host was closed, as the last caller that waited on
-    it had left. Any lost connection to a host ended the waits for all questions to
-    that host: "E1408 fate_asked lost=1" and "E1409 fate_told moved=1" 1 ms later, "E1411
-    link_ended streams=1 waited_ms=218" with "E1308 status=502 why=broken"."""
+    """Guards against a 502 for an order whose answer is on the way: its connection is
+    reset and the host is asked for the outcome over a new one. Before the host's answer
+    arrives, an older silent connection to the same host is closed, because the last
+    caller that waited on it has disconnected. This must not end the wait for other
+    outcome queries to that host (log: E1408 fate_asked lost=1, E1409 fate_told moved=1
+    1 ms later, E1411 link_ended streams=1 waited_ms=218, E1308 status=502
+    why=broken)."""
     first, second, caller = await two_orders_behind(f)
     caller.close()
     await asyncio.sleep(0.25)
@@ -282,13 +286,14 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_moved_then_its_new_connection_is_lost(f):
-    """An order was given up by the host that ran it, while its caller waited. Its
-    connection was silent, the host was asked and moved it to the second connection;
-    that one was reset before its sender had heard so. The sender asked after the
-    second connection and named only what it knew to be there, and the host ended the
-    rest of it: "E1409 fate_told streams=1 moved=1" for each, then "E1411 link_ended
-    streams=1 moved_here=1 waited_ms=0" at the host. A later question about the first connection
-    found nothing, as the host knew the order by its place on the second one only."""
+    """Guards against an order that is given up by the host that executes it while its
+    caller waits: its connection is silent, the host is asked and moves it to the second
+    connection, and that one is reset before the sender has heard of the move. The
+    sender's query about the second connection names only what it knows to be there, and
+    the host must not end the other requests on it (log: E1409 fate_told streams=1
+    moved=1 for each, then E1411 link_ended streams=1 moved_here=1 waited_ms=0 at the
+    host). A later query about the first connection would find nothing, if the host knew
+    the order only by its place on the second one."""
     first, second, _ = await two_orders_behind(f)
     await asyncio.sleep(0.1)
     await f.nodes["back"][0].relay.release()
@@ -299,11 +304,11 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_question_overtakes_its_connection(f):
-    """An order ended 502 "may have run" although no server ever had it. The way to
-    the host held it up, with its connection's first words; the question about it
-    came by a newer connection and was read first. The host knew no such connection
-    and could not tell one that it had forgotten from one that it had never heard of:
-    "E1409 fate_told known=0 streams=1 moved=0 never=0 maybe_ran=1"."""
+    """Guards against a 502 "may have been executed" for an order that no server
+    received: the network delays the order together with the first bytes of its
+    connection, and the outcome query arrives earlier by a newer connection. The host
+    must tell a connection that it has forgotten from one that it has never known (log:
+    E1409 fate_told known=0 streams=1 moved=0 never=0 maybe_ran=1)."""
     host = f.nodes["back"][0]
     begin, second_takes = await upload_to_first(f, "overtaken")
     host.relay.hold_new = True
@@ -324,10 +329,11 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_answer_lost_with_its_connection(f):
-    """An order ended 502 although its server had answered it: the connection had
-    gone silent while the order ran, the host wrote the answer there and forgot it.
-    Asked half a second later, it had nothing to say but that the order may have run:
-    "E1409 fate_told known=1 streams=1 moved=0 never=0 maybe_ran=1"."""
+    """Guards against a 502 for an order that its server has answered: the connection
+    goes silent while the order is executed, and the host writes the answer there and
+    forgets it. Asked half a second later, the host can report only that the order may
+    have been executed (log: E1409 fate_told known=1 streams=1 moved=0 never=0
+    maybe_ran=1)."""
     async def quick(s, head, rid, stage):
         if stage == "run" and rid == "answered":
             await asyncio.sleep(0.2)
@@ -345,9 +351,9 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_host_starts_anew_before_it_answers(f):
-    """What a process that started anew under the same id says of an order of before
-    must not count: it never received it, and the order had run. The host is killed
-    and started again between the question and its answer."""
+    """A process that was restarted under the same id reports that it never received an
+    order from before the restart. This must not count, as the order has been executed.
+    The host is killed and started again between the query and its answer."""
     node, host = f.nodes["front"][0], f.nodes["back"][0]
     async def killed_and_started(victim):
         victim.signal(signal.SIGSTOP)
@@ -379,13 +385,13 @@
             process.send_signal(signal.SIGCONT)
 
     async def hold_up(self, node):
-        """What the host says is held up, then let through."""
+        """Delays what the host sends, then lets it through."""
         node.relay.kept.add("out")
         await asyncio.sleep(self.rng.uniform(0.1, 0.9))
         await node.relay.release()
 
     async def swallow(self, node):
-        """Nothing passes either way, then all is reset."""
+        """Drops all data in both directions, then resets all connections."""
         node.relay.mute |= {"in", "out"}
         await asyncio.sleep(self.rng.uniform(0.1, 0.9))
         node.relay.mute.clear()
@@ -398,7 +404,7 @@
         node.relay.let_go()
 
     async def kill(self, node):
-        """The process is gone with what it runs, and starts again."""
+        """Kills the process with all it executes, and starts it again."""
         if node in self.down:
             return
         self.down.add(node)
@@ -432,11 +438,12 @@
 
 @test({"front": 2, "back": 3}, relays=True, slots=64)
 async def test_orders_through_a_storm(f):
-    """An upload ran on two servers, or was refused with 503 though it had run: what
-    the hosts said of requests on lost connections was taken for more than it was.
-    Connections go silent, are reset, held up and swallowed while hosts stand still
-    or their processes are killed, in series that overlap; each order runs once at most, one that is refused never
-    does, and one that is answered has. Seeds: LW_STORM_SEED; seconds: LW_STORM_S."""
+    """Guards against an upload that is executed on two servers, or refused with 503
+    although it was executed, because more is concluded from the hosts' reports on lost
+    connections than they state. Connections go silent, are reset, delayed and dropped
+    while hosts are paused or their processes are killed, in overlapping series. Each
+    order is executed once at most; an order that is refused never is, and one that is
+    answered has been. Seed: LW_STORM_SEED; seconds: LW_STORM_S."""
     seed = int(os.environ.get("LW_STORM_SEED", "1"))
     seconds = float(os.environ.get("LW_STORM_S", "8"))
     storm = Storm(f, seed)
@@ -479,11 +486,12 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_host_stands_still_before_it_is_asked(f):
-    """An order ended 502 and was cancelled at its server: its connection was reset,
-    and the host beside the server stood still before the question came. When it woke,
-    the time in which work of a lost connection runs on had passed, and it ended the
-    order before it read anything: "E1411 link_ended outgoing=0 streams=3
-    waited_ms=892", then "E1409 fate_told known=0 maybe_ran=3"."""
+    """Guards against a 502 for an order that is then cancelled at its server: its
+    connection is reset, and the host beside the server is paused before the outcome
+    query arrives. When the host resumes, the time for which requests of a lost
+    connection may continue has passed, and it must not end the order before it has read
+    the query (log: E1411 link_ended outgoing=0 streams=3 waited_ms=892, then E1409
+    fate_told known=0 maybe_ran=3)."""
     async def reset_then_frozen(host):
         host.relay.hold_new = True
         host.relay.reset_all()
@@ -499,10 +507,11 @@
 
 @test({"front": 1, "back": 1})
 async def test_idle_connection_closed_while_the_host_stands_still(f):
-    """An order ended 502 though its server never had it. While the host beside the
-    server stood still the server closed its idle connections, and the order came.
-    The host read the order first when it woke, and gave it to a connection whose end
-    lay unread in the kernel: what is sent there may have run."""
+    """Guards against a 502 for an order that its server never received: while the host
+    beside the server is paused, the server closes its idle connections, and the order
+    arrives. When the host resumes, it reads the order first and sends it on a
+    connection whose end lies unread in the kernel; what is sent there may have been
+    executed."""
     node, host = f.nodes["front"][0], f.nodes["back"][0]
     for i in range(4):
         check((await node.caller().ask("POST", "/up/1", f"w{i}", body=b"x")).status == 200, "w")
@@ -519,13 +528,12 @@
 
 @test({"front": 1, "back": 2}, slots=64)
 async def test_given_up_read_does_not_run_late(f):
-    """A server worked for a caller that had been answered half a second before. The
-    host beside it stood still when the read came; its sender gave the read up for
-    another server, which answered it. The host woke with the read and the word that
-    it was given up in one buffer, and ran it before it read on. Found by the soak:
-    "ran on: s13-184 sent at 21.28 s, 200 after 0.16 s, ran i-front-0 21.43-21.44,
-    i-front-2 21.95-21.96", with "E1310 request_retried id=s13-184 after=broken
-    given=1" 0.16 s after it was sent."""
+    """Guards against a server that executes a read whose caller was answered half a
+    second before: the host beside the server is paused when the read arrives, and its
+    sender cancels the read and sends it to another server, which answers. The host
+    resumes with the read and its cancellation in one buffer, and must not start the
+    read before it has read on (log: E1310 request_retried after=broken given=1, 0.16 s
+    after the read was sent)."""
     async def short(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(0.01)
@@ -551,7 +559,8 @@
 
 @test({"front": 1, "back": 1})
 async def test_answer_that_lay_in_a_buffer_is_delivered(f):
-    """An answer that came while the asking host stood still is lost with the process that sent it."""
+    """Guards against a lost answer: it arrives while the asking host is paused, and the
+    process that sent it ends before that host resumes."""
     async def work(s, head, rid, stage):
         if stage == "run" and rid == "order":
             await asyncio.sleep(0.3)
