--- a/tests/mesh/crashes.py
+++ b/tests/mesh/crashes.py
@@ -1,4 +1,4 @@
-"""Failure tests of requests that end the backend servers that run them."""
+"""Failure tests of requests that crash the backend servers that execute them."""
 import asyncio
 import time
 
@@ -10,12 +10,12 @@
 
 
 class Crashes:
-    """Ends a server that runs a request to the path, and starts it anew under another id."""
+    """Crashes a server that executes a request to the path, and restarts it under another id."""
 
     def __init__(self, f, service, path, after=0.07, take=True):
         self.f, self.path, self.after = f, path, after
-        self.sends = []  # when the request reached a server
-        self.ends = []  # when a server ended under it
+        self.sends = []  # times at which the request reached a server
+        self.ends = []  # times at which a server crashed while it executed it
         self.tasks = []
         self.down = set()
         for n in f.nodes[service] if take else []:
@@ -59,7 +59,7 @@
 
 
 async def repeat(f, seconds, gap, ask, answers, start=0):
-    """Asks at one host after the other, whatever the answer is."""
+    """Sends requests to one host after the other, whatever the answer is."""
     end = time.monotonic() + seconds
     i = start
     while time.monotonic() < end:
@@ -98,7 +98,8 @@
 
 @test({"front": 4, "back": 8})
 async def test_lookup_that_ends_its_servers(f):
-    """Callers repeat one lookup at any host, and each server that runs it ends, again and again."""
+    """Callers repeat one lookup at any host, and each server that executes it crashes,
+    again and again."""
     crashes, bad, served = await play(f, "front", "/get/bad", "/get/ok")
     check(len(crashes.ends) >= 1, "the fault did not come")
     check(len(crashes.late_sends()) <= SENDS_ALLOWED, crashes.late_sends())
@@ -107,7 +108,8 @@
 
 @test({"front": 4, "back": 8})
 async def test_order_that_ends_its_servers(f):
-    """The same with an order whose body comes with a length or in chunks; one that ran is not told otherwise."""
+    """The same with an order whose body comes with a length or in chunks; an order that
+    was executed is not reported as unexecuted."""
     crashes, bad, served = await play(f, "back", "/up/bad", "/leaf/ok", "POST", b"z" * 3000)
     check(len(crashes.ends) >= 1, "the fault did not come")
     check(len(crashes.late_sends()) <= SENDS_ALLOWED, crashes.late_sends())
@@ -118,7 +120,8 @@
 
 @test({"front": 2, "back": 6})
 async def test_popular_lookup_survives_a_dying_rack(f):
-    """A lookup that everybody sends is held back as the cause, as half of its servers end at once, three times."""
+    """Guards against holding back a lookup that every caller sends as the cause, when
+    half of its servers crash at once, three times."""
     crashes = Crashes(f, "back", "/never")
     answers = []
 
@@ -138,7 +141,8 @@
 
 @test({"front": 3, "back": 5})
 async def test_node_that_starts_anew_hears_of_held_requests(f):
-    """A host that starts anew gives a request that ends servers to one after the other, as nobody told it."""
+    """Guards against a restarted host that sends a request which crashes servers to one
+    server after the other, because no node has reported the request to it."""
     crashes = Crashes(f, "back", "/leaf/bad")
     node = f.nodes["front"][0]
     c = f.nodes["front"][1].caller()
@@ -164,7 +168,7 @@
 
 @test({"front": 2, "back": 4})
 async def test_request_is_let_go_after_its_hold(f):
-    """A request whose servers were mended stays refused for ever."""
+    """Guards against a request that is rejected for ever after its servers were repaired."""
     crashes = Crashes(f, "back", "/leaf/bad")
     c = f.nodes["front"][0].caller()
     for i in range(20):
--- a/tests/mesh/leaving.py
+++ b/tests/mesh/leaving.py
@@ -1,4 +1,4 @@
-"""Failure tests of servers that say in their answers, and nowhere else, that they leave."""
+"""Failure tests of servers that announce only in their responses that they are leaving."""
 import asyncio
 import signal
 import time
@@ -8,11 +8,11 @@
 
 SAYS = "Server-Leaving: 1"
 DRAIN_S = 2.0
-SLACK_S = 0.05  # for the way to the server
+SLACK_S = 0.05  # transit time to the server
 
 
 class Callers:
-    """Callers at some nodes; `told` is when a node first passed on that a server leaves."""
+    """Callers at some nodes; `told` is when a node first passed on that a server is leaving."""
 
     def __init__(self, f, nodes, target="/leaf/1", each=4, pause=0.12):
         self.f, self.nodes, self.target = f, nodes, target
@@ -43,7 +43,8 @@
             await asyncio.sleep(self.pause)
 
     def late(self, server):
-        """How late requests were sent that reached it, by what their own node had passed on."""
+        """For requests that reached the server but were sent after its drain time:
+        seconds since their own node had first passed the announcement on."""
         out = []
         for _, rid in server.ran:
             at, node = self.sent.get(rid, (0, None))
@@ -77,7 +78,8 @@
 
 @test({"front": 3, "back": 4}, slots=4)
 async def test_leaving_told_in_answers_alone(f):
-    """A server that says only in its answers that it leaves gets work for good."""
+    """Guards against sending requests for ever to a server that announces only in its
+    responses that it is leaving."""
     work(f)
     server = f.nodes["back"][0].server
     async with Callers(f, f.nodes["front"]) as callers:
@@ -91,7 +93,8 @@
 
 @test({"front": 3, "back": 4}, slots=4)
 async def test_leaving_told_while_the_store_is_silent(f):
-    """The same with a store that answers nobody: what was passed on binds all the same."""
+    """The same while the store answers no request: an announcement that was passed on
+    still holds."""
     work(f)
     server = f.nodes["back"][0].server
     async with Callers(f, f.nodes["front"]) as callers:
@@ -105,7 +108,8 @@
 
 @test({"front": 3, "back": 4}, slots=4)
 async def test_leaving_outlives_the_node_beside_the_server(f):
-    """The node beside a leaving server starts anew, knows nothing of it, and takes work for it."""
+    """Guards against a restarted node beside a leaving server that knows nothing of the
+    announcement and accepts requests for the server."""
     work(f)
     node = f.nodes["back"][0]
     async with Callers(f, f.nodes["front"]) as callers:
@@ -123,7 +127,8 @@
 
 @test({"front": 3, "back": 4}, slots=4)
 async def test_leaving_outlives_entries_that_say_ready(f):
-    """The entry is written again as ready, and the store comes back from a copy: the server gets work again."""
+    """Guards against sending requests to a leaving server again after its entry is
+    written again as ready and the store is restored from an older copy."""
     work(f)
     server = f.nodes["back"][0].server
     copy = f.store.copy()
@@ -144,7 +149,8 @@
 
 @test({"front": 2, "back": 2}, slots=8)
 async def test_leaving_told_by_every_server(f):
-    """Every server of a service leaves: requests go on to them, as no other is there."""
+    """Guards against sending requests on to the servers of a service because all of
+    them are leaving and no other server is there."""
     work(f)
     async with Callers(f, f.nodes["front"]) as callers:
         for n in f.nodes["back"]:
@@ -161,7 +167,8 @@
 
 @test({"front": 2, "back": 2}, slots=8)
 async def test_leaving_ends_with_the_process(f):
-    """A server that left starts anew under its id, and gets no work for what its former process said."""
+    """Guards against a server that left, is restarted under its id, and gets no
+    requests because of its former process's announcement."""
     work(f)
     node = f.nodes["back"][0]
     server = node.server
@@ -184,7 +191,8 @@
 
 @test({"front": 1, "back": 2}, slots=8)
 async def test_leaving_by_older_answers(f):
-    """An answer without the header that began before the server said that it leaves takes it back."""
+    """Guards against revoking a server's announcement that it is leaving by a response
+    without the header whose request began before the announcement."""
     async def by_id(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(1.5 if rid.startswith("long") else 0.03)
@@ -212,7 +220,8 @@
 
 @test({"front": 2, "back": 3}, slots=4)
 async def test_leaving_told_through_a_stop(f):
-    """A node in front that stops passes an answer on, and sends its last requests to the leaving server."""
+    """Guards against a stopping node in front that passes the announcement on, and
+    sends its last requests to the leaving server."""
     work(f)
     server = f.nodes["back"][0].server
     node = f.nodes["front"][0]
@@ -228,7 +237,8 @@
 
 @test({"front": 2, "back": 3}, slots=8)
 async def test_leaving_unknown_to_a_process_started_after_a_copy(f):
-    """The store comes back from a copy that lacks a drain, and a node that starts then gives its server work."""
+    """Guards against a node that starts after the store was restored from a copy that
+    lacks a drain, and sends requests to the draining server."""
     work(f)
     node = f.nodes["back"][0]
     copy = f.store.copy()
@@ -244,7 +254,7 @@
         node.kill()
         node.start()
         anew = time.monotonic()
-        callers.told.pop((node.ip, node.server.id), None)  # its restart excuses it until then
+        callers.told.pop((node.ip, node.server.id), None)  # a restarted node may have forgotten it
         await asyncio.sleep(6)
     late = callers.late(node.server) + [
         round(t - anew, 2) for t, _ in node.server.ran if t > anew + 3 + DRAIN_S]
--- a/tests/mesh/limits.py
+++ b/tests/mesh/limits.py
@@ -1,4 +1,5 @@
-"""Failure tests of servers that name in their answers how many requests a second they take."""
+"""Failure tests of servers that announce in their responses how many requests a second
+they accept."""
 import asyncio
 import signal
 import time
@@ -16,7 +17,8 @@
 
 
 class Load:
-    """Requests at a steady rate from some nodes; what their callers heard, and who was told."""
+    """Requests at a steady rate from some nodes; the answers to their callers, and
+    which nodes passed an announcement on."""
 
     def __init__(self, f, per_s, nodes=None):
         self.f, self.nodes = f, nodes or f.nodes["front"]
@@ -60,7 +62,7 @@
         self.named.setdefault(node.server.id, time.monotonic())
 
     def worst(self, server, counted=lambda t, rid: True):
-        """Most requests in some 4 s from nodes that had been told, and when."""
+        """The largest number of requests in any 4 s from nodes that had passed the limit on."""
         first = self.named[server.id] + CONTACT_S
         times = []
         for t, rid in server.ran:
@@ -76,7 +78,7 @@
         return got
 
     def since(self, at):
-        """Statuses of what was answered since."""
+        """Statuses of the answers since @at."""
         return [s for t, s, _, _ in self.answers.values() if t > at]
 
     async def __aenter__(self):
@@ -105,7 +107,7 @@
 
 @test({"front": 3, "back": 4})
 async def test_server_limit_named_by_one_server(f):
-    """A server names a limit and gets as much as before."""
+    """Guards against a server that announces a limit and gets as many requests as before."""
     work(f)
     node = f.nodes["back"][0]
     async with Load(f, 100) as load:
@@ -119,7 +121,8 @@
 
 @test({"front": 3, "back": 4})
 async def test_server_limit_outlives_the_node_beside_the_server(f):
-    """The node beside a limited server starts anew, knows of no limit, and lets in all that comes."""
+    """Guards against a restarted node beside a limited server that knows of no limit
+    and admits all requests."""
     work(f)
     node = f.nodes["back"][0]
     async with Load(f, 100) as load:
@@ -134,7 +137,8 @@
 
 @test({"front": 3, "back": 4})
 async def test_server_limit_outlives_a_node_that_stands_still(f):
-    """The node beside a limited server wakes, and lets in all that came while it stood still."""
+    """Guards against a node beside a limited server that resumes after a pause and
+    admits all requests that arrived meanwhile."""
     work(f)
     node = f.nodes["back"][0]
     async with Load(f, 100) as load:
@@ -150,7 +154,7 @@
 
 @test({"front": 3, "back": 4})
 async def test_server_limit_while_the_store_is_silent(f):
-    """The same with a store that answers nobody."""
+    """The same while the store answers no request."""
     work(f)
     node = f.nodes["back"][0]
     async with Load(f, 100) as load:
@@ -162,7 +166,8 @@
 
 @test({"front": 3, "back": 4})
 async def test_server_limit_named_by_every_server(f):
-    """All servers of a service name limits: more than they take is served, or far less."""
+    """All servers of a service announce limits. Guards against serving more than they
+    accept, or far less."""
     work(f)
     async with Load(f, 100) as load:
         for n in f.nodes["back"]:
@@ -188,7 +193,8 @@
 
 @test({"front": 2, "back": 2}, slots=8)
 async def test_server_limit_ends_with_the_header(f):
-    """A server names a limit for a while, and gets no more for good."""
+    """Guards against a server that announces a limit for a while and never gets more
+    requests afterwards."""
     work(f)
     node = f.nodes["back"][0]
     async with Load(f, 100) as load:
@@ -200,7 +206,8 @@
 
 @test({"front": 2, "back": 2}, slots=8)
 async def test_server_limit_of_nothing(f):
-    """A server takes nothing for a while: it gets requests, or is never asked again."""
+    """A server accepts no requests for a while. Guards against sending it requests, or
+    never trying it again."""
     work(f)
     node = f.nodes["back"][0]
     async with Load(f, 100) as load:
@@ -216,7 +223,8 @@
 
 @test({"front": 3, "back": 4})
 async def test_server_limit_far_below_what_runs(f):
-    """A limit falls from far above to far below what runs, and rises and falls from answer to answer."""
+    """A limit falls from far above to far below the number of requests executed, then
+    rises and falls from response to response."""
     work(f)
     node = f.nodes["back"][0]
     async with Load(f, 100) as load:
@@ -228,7 +236,7 @@
         load.check_worst(node, 4)
         load.named.clear()
         load.named[node.server.id] = time.monotonic()
-        for i in range(120):  # what the server takes at the most is the larger one
+        for i in range(120):  # the server accepts the larger of the two at most
             node.server.says = [f"Server-Limit: {4 if i % 2 else 12}"]
             await asyncio.sleep(0.05)
         load.check_worst(node, 12)
@@ -236,7 +244,8 @@
 
 @test({"front": 2, "back": 2}, slots=8)
 async def test_server_limit_ends_with_the_process(f):
-    """A server starts anew under its id, and is kept to the limit of its former process."""
+    """Guards against a server that is restarted under its id and is kept to the limit
+    of its former process."""
     work(f)
     node = f.nodes["back"][0]
     server = node.server
@@ -255,7 +264,8 @@
 
 @test({"front": 2, "back": 2}, slots=8)
 async def test_server_limit_that_is_no_number(f):
-    """What is no limit costs the server its work, or a line in the log for each answer."""
+    """Guards against a value that is no valid limit and costs the server its requests,
+    or a log line for each response."""
     work(f)
     node = f.nodes["back"][0]
     async with Load(f, 100) as load:
@@ -273,7 +283,8 @@
 
 @test({"front": 3, "back": 4}, slots=2)
 async def test_small_servers_half_busy(f):
-    """Servers of two slots refuse a quarter of what they have room for, as a request or two wait by chance."""
+    """Guards against servers of two slots that reject a quarter of the requests for
+    which they have room, because a request or two wait by chance."""
     work(f)
     async with Load(f, 75) as load:
         at = time.monotonic()
--- a/tests/mesh/stops.py
+++ b/tests/mesh/stops.py
@@ -12,9 +12,9 @@
 
 @test({"front": 2, "back": 1})
 async def test_sigterm(f):
-    """Symptom: a planned stop cuts requests off. Sequence: SIGTERM while a
-    request runs; callers go on for a while. Cause: exit before the answers
-    are out, or callers not told in time."""
+    """Guards against a planned stop that cuts requests off: SIGTERM arrives while a
+    request is executed, and callers continue for a while. The node must not exit before
+    the answers are sent, and must notify callers in time."""
     async def slow(s, head, rid, stage):
         if stage == "run" and rid.startswith("slow"):
             await asyncio.sleep(1.5)
@@ -38,10 +38,10 @@
 
 @test({"front": 1, "back": 2})
 async def test_all_stop_in_turn(f):
-    """Symptom: a rolling restart ends requests with 502 although every server
-    lives. Sequence: the nodes beside all servers of a service are told to stop
-    shortly after each other; requests that must not run twice go on. Cause:
-    with no better node left each is sent work until its exit cuts it off."""
+    """Guards against requests that end with 502 in a rolling restart although every
+    server is alive: the nodes beside all servers of a service are told to stop shortly
+    after each other, while requests arrive that must not be executed twice. With no
+    better node left, each would be sent requests until its exit cuts them off."""
     async def slow(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(0.3)
@@ -70,8 +70,8 @@
 
 
 def trickle(ip, rid, seconds, length):
-    """An upload that is sent slowly by a caller that looks for an answer only once
-    it cannot send on; what it reads then."""
+    """Sends an upload slowly, as a caller that reads an answer only once it cannot send
+    any more; returns the status it reads then."""
     with socket.create_connection((ip, fl.CALLERS), 3) as s:
         s.sendall(f"POST /up/1 HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: {rid}\r\n"
                   f"X-Deadline-Ms: 20000\r\nContent-Length: {length}\r\n\r\n".encode())
@@ -95,10 +95,10 @@
 
 @test({"front": 1, "back": 1})
 async def test_upload_at_the_exit_is_told(f):
-    """The suspicion was that a caller in the middle of an upload reads no answer when
-    the node exits, as the connection is closed with bytes unread, which resets it. It
-    does not act: the 502 is written before, and a caller that looks for an answer
-    only once it cannot send on still reads it."""
+    """A caller in the middle of an upload reads an answer when the node exits, although
+    the connection is closed with bytes unread, which resets it. The 502 is written
+    before, so that a caller that reads an answer only once it cannot send any more
+    still gets it."""
     node = f.nodes["front"][0]
     uploads = trickles(node, 6.5, 32 << 20)
     await asyncio.sleep(0.2)
@@ -109,20 +109,20 @@
 
 @test({"front": 1, "back": 1})
 async def test_refused_upload_is_told(f):
-    """As above, for one that is refused with 413 while it is sent."""
+    """As above, for an upload that is rejected with 413 while it is sent."""
     told = await asyncio.gather(*trickles(f.nodes["front"][0], 1, 80 << 20))
     check(told == [413] * 8, told)
 
 
 async def restarted(node, delay):
-    """The platform starts a node again, a moment after its process has ended."""
+    """Starts a node again as the platform does, @delay seconds after its process has ended."""
     await until(node.proc.poll, lambda rc: rc is not None, 8, 0.02)
     await asyncio.sleep(delay)
     node.start()
 
 
 async def both_stop(f, apart):
-    """Reads and orders while the nodes of a service of two stop @apart seconds apart."""
+    """Sends reads and orders while the nodes of a service of two stop @apart seconds apart."""
     node = f.nodes["front"][0]
     statuses = {}
 
@@ -148,31 +148,27 @@
 
 @test({"front": 1, "back": 2})
 async def test_both_nodes_of_a_service_stop(f):
-    """A service was without a server for about a second although both its servers
-    lived: the nodes beside them were told to stop within a second of each other, and
-    the second one left before the first had started again. A node did not know
-    that it was the last of its service that took work."""
+    """Guards against a service without a server for about a second although both its
+    servers are alive: the nodes beside them are told to stop within a second of each
+    other, and the second one exits before the first has started again, as it does not
+    know that it is the last node of its service that accepts requests."""
     await both_stop(f, 0.6)
 
 
 @test({"front": 1, "back": 2})
 async def test_both_nodes_of_a_service_stop_at_once(f):
-    """As above, in the same moment: each sees the other still take work."""
+    """As above, at the same moment: each node sees that the other still accepts requests."""
     await both_stop(f, 0.0)
 
 
 @test({"front": 1, "back": 2}, slots=64)
 async def test_stop_cuts_off_no_late_work(f):
-    """Two lookups ended 502 while their servers were at work. The node beside the
-    first server was stopping: by the order of the restarts it took the lookup
-    4.70 s after SIGTERM and left 5.05 s after it whatever was under way, a
-    second before SIGKILL:
-      80.449 s the server runs it, at the node stopped at 75.750 s
-      80.802 s its run ends: cut      80.804 s the caller gets 502
-    A node that takes no work in its last two seconds still cuts off what lasts
-    longer than the second left then. Here both nodes of a service stop, each
-    held up by a request whose answer does not come, and work of 1.2 s goes on:
-    it is answered, or refused and not run."""
+    """Guards against a 502 for requests that their servers are executing: a stopping
+    node accepts a request 4.70 s after SIGTERM and exits 5.05 s after SIGTERM, a second
+    before SIGKILL, whatever is in progress. A node that accepts no requests in its last
+    two seconds still cuts off any that take longer than the second left then. Here both
+    nodes of a service stop, each delayed by a request whose answer does not come, while
+    requests of 1.2 s arrive: each is answered, or rejected and not executed."""
     async def work(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(30 if rid.startswith("straggler") else 1.2)
@@ -204,13 +200,13 @@
 
 @test({"front": 2, "back": 1})
 async def test_stopping_node_serves_calls_of_running_work(f):
-    """Work at the server beside a stopping node failed with 500: the node took
-    requests of others until four seconds after SIGTERM, but no connection of
-    its own host after three, and the calls that the server makes for its
-    running work come that way. Of 41 requests begun in the five seconds after
-    SIGTERM the last 13 that were taken, from 2.8 s after it on, ended 500.
-    Here a request whose answer is lost keeps the only node of a service from
-    leaving. Work that makes a call goes on, and none that is taken fails."""
+    """Guards against requests that fail with 500 at the server beside a stopping node:
+    the node accepted requests from other nodes until four seconds after SIGTERM, but no
+    connection from its own host after three, by which the server makes the calls of its
+    running requests. Of 41 requests that began in the five seconds after SIGTERM, the
+    last 13 accepted, from 2.8 s on, ended with 500. Here a request whose answer is lost
+    keeps the only node of a service from exiting. Requests that make a call go on, and
+    none that is accepted fails."""
     busy = f.nodes["back"][0]
 
     async def work(s, head, rid, stage):
@@ -249,11 +245,11 @@
 
 @test({"front": 1, "back": 1})
 async def test_stop_answers_what_it_gives_up(f):
-    """A stopping node that has to leave before its last request is over closed
-    the connection without a word; its caller could not tell the stop from a
-    fault of the network, and did not learn that the request may have run.
-      E1006 stop_step step=exit_cutting_off active=1 running=0
-    It answers 502 as its last act, and 503 where no server was given it."""
+    """Guards against a stopping node that closes a connection without an answer when it
+    has to exit before its last request is over: the caller could not tell the stop from
+    a network fault, nor learn that the request may have been executed (log: E1006
+    stop_step step=exit_cutting_off active=1 running=0). The node answers 502 just
+    before it exits, and 503 where no server was sent the request."""
     async def hang(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(30)
@@ -269,8 +265,9 @@
 
 
 async def held_back(node, size, rid):
-    """A caller that asks for an answer of `size` bytes and reads none of it;
-    whether the node has the whole answer and still holds some of it."""
+    """A caller that requests an answer of `size` bytes and reads none of it. Returns
+    the caller, and whether the node has received the whole answer, of which it still
+    holds a part."""
     c = node.caller()
     await c.open()
     c.writer.transport.pause_reading()
@@ -282,12 +279,12 @@
 
 @test({"front": 1}, rules=[route("get", "/get/", "front", timeout=20, target=20)])
 async def test_stop_writes_answers_to_their_end(f):
-    """An answer of some megabytes was cut short by a planned stop: the node had
-    read the last of it from the server and counted the request as over, while
-    the caller, who read slowly, had not taken the last part from it yet. Of an
-    answer of that size up to 64 KiB are in the node's own buffer then. The exit
-    waited for requests under way only:
-      E1006 stop_step step=exit active=0 running=0 queued=0 oldest_ms=0"""
+    """Guards against an answer of some megabytes that a planned stop cuts short: the
+    node has read the end of it from the server and counts the request as over, while
+    the caller, which reads slowly, has not received the last part yet. Of an answer of
+    that size up to 64 KiB are in the node's own buffer then. The exit must not wait
+    only for requests in progress (log: E1006 stop_step step=exit active=0 running=0
+    queued=0 oldest_ms=0)."""
     async def big(s, head, rid, stage):
         if stage == "run":
             return (None, 200, b"a" * int(head.start[1].rsplit("/", 1)[1]))
@@ -312,7 +309,7 @@
 
 
 async def ask_until(f, node, stop, out, number):
-    """Requests of one caller, one after the other on new connections."""
+    """Sends requests of one caller, one after the other on new connections, until @stop is set."""
     n = 0
     while not stop.is_set():
         n += 1
@@ -324,13 +321,12 @@
 
 @test({"front": 1, "back": 1}, relays=True)
 async def test_exit_waits_for_what_is_on_its_way(f):
-    """Orders ended 502 that nobody had read: the node beside the server was
-    stopping, held up by a request whose answer came late. When that had come the
-    node said that it takes nothing more and left in the same step, and what was
-    on its way met the exit: 20 of 20 with 30 ms each way, none of 1377 where the
-    request was over earlier and 0.2 s lay between the word and the exit.
-      E1006 stop_step step=refusing since_ms=3000
-      E1006 stop_step step=exit since_ms=3000"""
+    """Guards against a 502 for orders that no node has read: the node beside the server
+    is stopping, delayed by a request whose answer comes late. If the node announces
+    that it accepts nothing more and exits in the same step, the orders in flight meet
+    the exit: 20 of 20 with 30 ms each way, but none of 1377 with 0.2 s between the
+    announcement and the exit (log: E1006 stop_step step=refusing since_ms=3000, E1006
+    stop_step step=exit since_ms=3000)."""
     async def by_id(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(3 if rid == "held" else 0.02)
@@ -353,10 +349,11 @@
 
 @test({"front": 2, "back": 1})
 async def test_stop_leaves_fresh_connections_open(f):
-    """Runs at the server beside a stopping node failed with 500: connections
-    without a request are closed for a stop every 0.1 s, also one on which the
-    server is just about to send the call that its run makes. With 2 ms between
-    the connection and its first bytes 8 of 433 runs failed, with 20 ms 59 of 256."""
+    """Guards against requests that fail with 500 at the server beside a stopping node:
+    connections without a request are closed every 0.1 s during a stop, also one on
+    which the server is just about to send the call of a running request. With 2 ms
+    between the connection and its first bytes 8 of 433 requests failed, with 20 ms 59
+    of 256."""
     busy, node = f.nodes["back"][0], f.nodes["front"][0]
 
     async def work(s, head, rid, stage):
@@ -391,14 +388,13 @@
 
 @test({"front": 6, "back": 1}, slots=64)
 async def test_nothing_is_taken_after_the_exit_is_decided(f):
-    """A request got no answer from a stopping node and had been passed on to a
-    server: it came in the turn of the loop in which the node decided to leave as
-    nothing was under way. What had arrived was still read in that turn, and sent
-    on with the last frames, though nobody was left to wait for the answer:
-      23.681 s the request is sent, 2.465 s after SIGTERM
-      23.717 s the connection is closed with no answer; the server runs it
-    Here the node stands still while the moment of its exit passes and a request
-    comes. Whoever gets no answer has reached no server."""
+    """Guards against a request without an answer that was passed on to a server: it
+    arrived at a stopping node in the loop iteration in which the node decided to exit,
+    as nothing was in progress. Data that had arrived was still read in that iteration
+    and sent on with the last frames, though the node could not wait for the answer any
+    more; the server executed the request. Here the node is paused while the moment of
+    its exit passes and a request arrives. A request that gets no answer must not have
+    reached a server."""
     async def slow(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(0.3)
@@ -415,7 +411,7 @@
         await c.open()
         await probe.open()
         await asyncio.sleep(began + 2.45 - time.monotonic())
-        # work that is no request: stopped at it, the node looks for input and time at once
+        # not counted as requests; paused while serving these, the node polls input and time at once
         probe.writer.write(b"GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n" * 2000)
         await asyncio.sleep(0.002)
         node.signal(signal.SIGSTOP)
@@ -435,14 +431,13 @@
 
 @test({"front": 1, "back": 2}, relays=True)
 async def test_call_to_a_process_that_never_spoke(f):
-    """Requests that no server had seen ended 502, as if they might have run: 16
-    in one day of rolling restarts, 11 to 42 ms after they came, each as another
-    node's process exited. They were on connections that its kernel still took,
-    but that the process never read:
-      E1308 request_ended status=502 why=broken given=1 maybe_ran=1 after_ms=12
-      E1407 link_lost streams=1 unsent=0 connected=1 heard=0
-    Here connections to one node are taken and reset before it says a word: a
-    request that must not run twice goes to the other one."""
+    """Guards against a 502 "may have been executed" for requests that no server
+    received, in a rolling restart, 11 to 42 ms after they came, as another node's
+    process exits: they are on connections that its kernel still accepts, but that the
+    process never reads (log: E1308 request_ended status=502 why=broken given=1
+    maybe_ran=1, E1407 link_lost streams=1 unsent=0 connected=1 heard=0). Here
+    connections to one node are accepted and reset before it sends a byte: a request
+    that must not be executed twice goes to the other node."""
     node, victim = f.nodes["front"][0], f.nodes["back"][0]
     victim.relay.refuse = True
     victim.relay.reset_all()
@@ -461,9 +456,9 @@
 
 @test({"front": 1, "back": 2})
 async def test_stopping_node_still_works(f):
-    """Symptom: in a rolling restart under load each stop takes a server's room
-    away for three seconds. Sequence: SIGTERM; the node waits until callers have
-    heard, and its server stands idle. Cause: other nodes were told at once."""
+    """Guards against a rolling restart under load in which each stop takes a server's
+    capacity away for three seconds: after SIGTERM the node waits until callers know of
+    the stop, and its server idles meanwhile, if other nodes are notified at once."""
     node = f.nodes["front"][0]
     victim = f.nodes["back"][0]
 
