--- a/tests/soak/announcing.py
+++ b/tests/soak/announcing.py
@@ -1,13 +1,20 @@
-"""Servers in the soak that announce in their answers alone that they leave, or how many
-requests a second they take; checked by what each node had passed on."""
+"""Servers in the soak that announce only in their responses that they are leaving, or how
+many requests per second they accept. The checks count an announcement as known to a node
+from the time at which that node forwarded it to a caller."""
 import asyncio
 import time
 
+# seconds after a node knows that a server is leaving from which it must send it no requests
 DRAIN_S = 2.0
+# tolerance of that check, in seconds
 SLACK_S = 0.3
+# a limit is checked from this many seconds after its first announcement
 CONTACT_S = 3.0
+# and from this many seconds after the node knew it
 TOLD_S = 0.5
+# length of the interval in which requests are counted, in seconds
 SPAN_S = 4.0
+# limits to announce, in requests per second
 LIMITS = [0, 0.5, 2, 5, 10]
 
 
@@ -16,13 +23,14 @@
 
 
 class Announcing:
-    """The steps, and what servers announced to whom. A node's next process knows nothing."""
+    """The steps, and which announcement reached which node process. A restarted node
+    knows none of its predecessor's announcements."""
 
     def __init__(self, soak):
         self.soak = soak
-        self.process = {}  # request id -> process of the node where it began
+        self.process = {}  # request id -> process of the node that its caller sent it to
         self.told = {}  # (process, server's id, kind) -> time
-        self.touched = []  # (time, ip) of what excuses a node
+        self.touched = []  # (time, ip) of each fault; it exempts the node from the checks
         self.named = []  # [server's id, server, begin, end, highest limit]
         self.left = 0
 
@@ -39,7 +47,8 @@
         return not server.says and not server.draining
 
     async def leave(self, node, rng):
-        """A server says that it leaves, its entry does not; then its next process comes."""
+        """A server announces in its responses that it is leaving while its registration does
+        not say so; then it stops, and its successor registers."""
         old = node.server
         others = [n for n in self.soak.f.nodes[old.service] if self.free(n.server)]
         if not self.free(old) or len(others) < 3:
@@ -57,7 +66,7 @@
         self.soak.note(f"new {old.id}")
 
     async def limit(self, node, rng):
-        """A server names a limit for some seconds, and another one meanwhile."""
+        """A server announces a limit for some seconds, then another limit, then none."""
         server = node.server
         if not self.free(server):
             return
@@ -84,7 +93,8 @@
             self.check_named(*span)
 
     def check_left(self):
-        """A request sent late to a leaving server, by what its node had passed on."""
+        """Checks that no request was sent to a leaving server longer than DRAIN_S after its
+        node had forwarded the announcement."""
         for node in self.soak.f.all():
             for at, rid in node.server.ran:
                 process = self.process.get(rid)
@@ -96,7 +106,7 @@
                                    f"on that {by} leaves")
 
     def ran_at(self, rid, at):
-        """The id that the server had when it ran the request."""
+        """Returns the id that the server had when it executed the request."""
         runs = self.soak.runs.get(rid, [])
         return min(runs, key=lambda r: abs(r[0] - at))[2] if runs else None
 
--- a/tests/soak/series.py
+++ b/tests/soak/series.py
@@ -1,6 +1,6 @@
-"""The series of faults and planned work of a soak: each step is a coroutine
-that begins, waits and ends one. All that is random in a step comes from a
-generator of its own, so that a seed draws the same series whatever else runs."""
+"""The series of faults and planned work of a soak. Each step is a coroutine that starts
+one fault or piece of planned work, waits and ends it. A step draws its random values
+from a generator of its own, so that a seed draws the same series whatever callers do."""
 import asyncio
 import os
 import random
@@ -10,17 +10,19 @@
 import fleet as fl
 from crashes import SENDS_ALLOWED, TOUCH_S, Crashes
 
+# seconds after its draining entry from which a server must get no requests
 DRAIN_S = 2.0
+# seconds within which a node must exit after SIGTERM
 GRACE_S = 6.0
-# before main() has begun nobody can handle a signal; a process older than this has begun it
+# no signal can be handled before main() has begun; a process older than this has begun it
 YOUNG_S = 0.1
-# a process has read its settings by then
+# seconds from the start of a process until it has read its settings
 START_S = 0.5
-# a node says so soon after SIGHUP, also while it is stopping
+# seconds within which a node logs the result of a SIGHUP, also while it is stopping
 HANGUP_S = 1.5
-# rolls begin so far apart at least, or nothing but rolls would be seen
+# least seconds between the beginnings of rolls, as rolls would displace all other steps otherwise
 ROLL_S = 4.0
-# settings that SIGHUP must take, and some that it must refuse
+# settings that a node must accept on SIGHUP; BAD_SETTINGS are those it must reject
 GOOD_SETTINGS = [{"retry_extra": 47}, {"retry_extra": 5}, {"retry_ratio": 0.05},
                  {"retry_window_s": 4}, {"retry_ratio": 0, "retry_extra": 0}]
 LINES_PER_S = [0, 40, 200, 1000]
@@ -29,7 +31,7 @@
 
 
 class Series:
-    """What happens to the fleet `self.f`; Soak has the rest."""
+    """The steps that act on the fleet `self.f`; Soak holds the state and the checks."""
 
     def note(self, what, ip=None, store=False):
         self.faults.append(f"{time.monotonic() - self.begin:.2f} {what}")
@@ -41,7 +43,8 @@
             self.store_disturbed = time.monotonic()
 
     def unplanned(self):
-        """A disruption that is no planned work begins; end it with .append(time)."""
+        """Records that a disruption other than planned work begins. Returns its span; the
+        caller ends it with .append(time)."""
         span = [time.monotonic()]
         self.spans.append(span)
         return span
@@ -56,8 +59,8 @@
         self.note(f"start {node.ip}", node.ip)
 
     async def term(self, node, rng):
-        """A stop, sometimes with more signals on the way, and a start. A node
-        that is being stopped already gets one more signal."""
+        """Stops and restarts a node, sometimes with further signals during the stop. A
+        node that is being stopped already gets one more SIGTERM."""
         again, hup, soon, when = (rng.random() for _ in range(4))
         if node.ip in self.stopping_nodes:
             self.note(f"term again {node.ip}", node.ip)
@@ -107,7 +110,7 @@
         self.note(f"exit {node.ip}", node.ip)
 
     async def roll(self, node, rng):
-        """One node after the other is stopped and started again."""
+        """Stops and restarts nodes one after the other."""
         nodes = self.f.all() if rng.random() < 0.5 else self.f.all()[::2]
         nodes = rng.sample(nodes, len(nodes))
         gap = 0.2 + rng.random() * 0.8
@@ -133,7 +136,8 @@
         self.note(f"wake {node.ip}", node.ip)
 
     async def hangup(self, node, rng):
-        """SIGHUP; the file is new or broken, and the node must say which."""
+        """Sends SIGHUP after writing new or invalid settings; the node must log which they
+        were."""
         how, good, bad, lines = (rng.random(), rng.choice(GOOD_SETTINGS),
                                  rng.choice(BAD_SETTINGS), rng.choice(LINES_PER_S))
         if node.proc.poll() is not None or (
@@ -183,7 +187,7 @@
             await asyncio.sleep(0.5 + rng.random() * 2)
             relay.refuse, relay.delay = False, 0.0
             relay.mute.clear()
-            # what was swallowed never comes: the connections are gone for good
+            # the relay dropped bytes of these connections, so they can't be used any more
             relay.reset_all()
         span.append(time.monotonic())
         for n in self.f.all():
@@ -214,8 +218,9 @@
         self.note(f"store {mode} over", store=True)
 
     async def store_copy(self, _node, rng):
-        """The store comes back from a copy some seconds old; what operators and servers
-        wrote since is written again, and what left lapses."""
+        """Restores the store from a copy that is some seconds old. Operators and servers
+        then write again what they wrote since, and entries of servers that have left are
+        removed."""
         if self.copying:
             return
         self.copying = True
@@ -244,7 +249,8 @@
         self.copying = False
 
     async def bad_request(self, _node, rng):
-        """A caller repeats a request that ends its servers, at any node."""
+        """Sends a request that crashes the servers which execute it, again and again and to
+        any node."""
         if self.crashes.path:
             return
         self.crashes.path = f"/get/bad{len(self.faults)}"
@@ -280,7 +286,7 @@
         await asyncio.sleep(0.1)
 
     async def drain(self, node, _rng):
-        """A server leaves and another takes its place at the same address."""
+        """Drains a server and registers a new one at the same address."""
         old = node.server
         if old.draining or old.says or sum(not n.server.draining for n in self.f.nodes[old.service]) < 2:
             return
@@ -296,7 +302,7 @@
         self.note(f"new {old.id}")
 
     async def alone(self, step, node, rng):
-        """A step that no other of its kind may meet at the same node."""
+        """Runs a step unless another such step is in progress at the same node."""
         if node.ip in self.busy:
             return
         self.busy.add(node.ip)
@@ -304,12 +310,12 @@
         self.busy.discard(node.ip)
 
     async def series(self):
-        """Steps at drawn times; `planned` seeds draw planned work only."""
+        """Starts steps at random times; `planned` seeds draw planned work only."""
         planned = [self.term, self.term, self.roll, self.two_rolls, self.hangup, self.hangup,
                    self.change, self.change, self.drain]
         mixed = [self.kill, self.term, self.roll, self.pause, self.hangup, self.link, self.link,
                  self.server_fault, self.server_fault, self.store_fault, self.change, self.drain]
-        # no node is disturbed: what is known of requests and of the store must hold
+        # nodes are not disturbed, as they must keep what they know of requests and the store
         ends = [self.bad_request, self.store_copy, self.store_copy, self.change, self.drain,
                 self.drain, self.hangup, self.server_fault]
         if self.announcing:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,16 +1,19 @@
-"""A randomized fault soak of lwproxy over loopback: real processes, faults from
-outside them, and the promises checked from what callers and servers see.
+"""A randomized fault soak of lwproxy over loopback. It runs real processes, injects
+faults from outside, and checks the guarantees by what callers and servers observe.
 
   python3 tests/soak/soak.py --seeds 1-50 --seconds 15 [--nodes 9] [--verbose]
 
-Nodes are reached through relays that can delay, reset, silence or refuse;
-processes are stopped in turn, paused, killed and restarted, get settings that
-are new or broken; servers drain, lose answers, shed, hang and send foreign
-bytes; the store goes silent, refuses and forgets (series.py). Every third seed
-draws planned work only: whatever a server has begun must be answered then. Seeds
-from 1000 on draw requests that end servers, and returns of the store from a copy, seeds
-from 2000 on organisations (tenancy.py), seeds from 3000 on servers that announce in their
-answers that they leave or what they take (announcing.py). A seed draws the same series each time."""
+Nodes are reached through relays that can delay, reset or silence connections, or
+refuse new ones. Node processes are stopped one after the other, paused, killed and
+restarted, and get new or invalid settings. Backend servers drain, lose answers, shed
+load, hang and send bytes that belong to no response. The store stops answering,
+rejects calls and compacts its history (series.py).
+
+Every third seed draws planned work only: every request whose execution has begun must
+then be answered. Seeds from 1000 on draw requests that crash servers, and restores of
+the store from an older copy; seeds from 2000 on draw organisations (tenancy.py); seeds
+from 3000 on draw servers that announce in their responses that they are leaving or
+which rate limit they have (announcing.py). A seed always draws the same series of faults."""
 import argparse
 import asyncio
 import os
@@ -28,36 +31,37 @@
 from series import DRAIN_S, Series  # noqa: E402
 from tenancy import Tenancy, open_routes, tenants  # noqa: E402
 
-# a node or store counts as undisturbed this long after the last fault on it
+# seconds after its last fault from which a node or the store counts as undisturbed
 TOUCH_S = 3.0
+# seconds within which an undisturbed node must serve a new configuration
 CONFIG_S = 2.0
-# a process listens so long after its start
+# seconds from the start of a process until it listens
 UP_S = 0.1
-# shares of requests that last long, and whose answer never comes, at a server
+# per server: the share of requests that take long, and the share that is never answered
 LONG = [(0, 0), (0.05, 0.002), (0.15, 0), (0.3, 0.005), (0.6, 0.01)]
-# callers, or two for each node if that is more
+# number of callers; two per node if that is more
 CLIENTS = 27
-# time of a request by its route and by its caller, in seconds
+# time limit of a request, both of its route and of its caller, in seconds
 TIME_S = 2
-# a server is at work for a caller that is gone no longer than this
+# seconds within which a server must stop executing a request whose caller is gone
 GONE_S = 0.5
-# a connection that closes without an answer does so this soon after a request
-# that it crossed
+# a connection that is closed without an answer is closed within this many seconds
+# after a request that was sent while it was being closed
 SLACK_S = 0.2
-# seeds from here on draw requests that end servers, and a store back from a copy
+# seeds from here on draw requests that crash servers, and a store restored from a copy
 ENDS_SEEDS = 1000
 # seeds from here on draw organisations, one of them with a limit
 TENANCY_SEEDS = 2000
-# seeds from here on draw servers that announce something in their answers
+# seeds from here on draw servers that announce a departure or a limit in their responses
 ANNOUNCING_SEEDS = 3000
-# a fifth of the requests of a planned seed must be fit to be judged
+# at least this share of a planned seed's requests must be covered by check_planned()
 JUDGED_SHARE = 0.2
 
 
 class Soak(Series):
     def __init__(self, seed, seconds, nodes, net):
-        self.rng = random.Random(seed)  # of the clients and servers
-        self.chaos_rng = random.Random(f"chaos {seed}")  # of the series of faults alone
+        self.rng = random.Random(seed)  # for clients and servers
+        self.chaos_rng = random.Random(f"chaos {seed}")  # for the series of faults only
         self.seconds = seconds
         self.net = net
         self.planned = (seed % 3 == 0 and seed < ANNOUNCING_SEEDS and
@@ -70,25 +74,25 @@
         self.broken = []
         self.asked = {}  # id -> (kind, node, time)
         self.outcome = {}  # id -> status, 0 for none
-        self.ended = {}  # id -> (time, whether it is a server's whole answer)
-        self.runs = {}  # id -> [[begin, end, server]] of its runs
+        self.ended = {}  # id -> (time, whether the answer is complete and from a server)
+        self.runs = {}  # id -> [[begin, end, server]] of its executions
         self.spoiled = set()  # ids whose answer a server lost
         self.judged = 0
         self.clients = max(CLIENTS, 2 * nodes)
-        self.late = 0.0  # how late this program itself was at most
+        self.late = 0.0  # greatest delay of this program's own timers, in seconds
         self.busy = set()  # ips of nodes that are stopped, paused or killed
         self.stopping_nodes = set()
         self.terms = []  # (time, ip) of each SIGTERM
-        self.spans = []  # [begin, end] of what is no planned work
+        self.spans = []  # [begin, end] of each disruption that is not planned work
         self.disturbed = {}  # ip -> time of the last fault
         self.store_disturbed = 0.0
         self.faults = []
         self.version = 1
         self.changed_at = 0.0
-        self.drained = {}  # server id -> time of its entry
+        self.drained = {}  # server id -> time at which it registered as draining
         self.served_late = {"good": 0, "all": 0}
         layout = {"front": nodes // 3, "back": nodes - nodes // 3}
-        # planned work has no use for relays, see follow()
+        # planned seeds need no relays, see follow()
         self.f = fl.Fleet(net, layout, rules=self.rules(), relays=not self.planned,
                           tenants=tenants() if self.tenancy else None)
         self.crashes = Crashes(self.f, "back", "", take=False)
@@ -145,17 +149,17 @@
                 now - self.store_disturbed > TOUCH_S)
 
     def calm(self, since, until):
-        """Whether there was planned work only, from a while before."""
+        """Whether there was only planned work from TOUCH_S before `since` to `until`."""
         return all(span[0] > until or (len(span) > 1 and span[1] < since - TOUCH_S)
                    for span in self.spans)
 
     async def client(self, number):
-        """Uses an open connection until its process is gone, then the next one
-        of the same node. Of four clients one sends several requests in a row,
-        one opens a new connection every few requests, one is slow."""
+        """Uses one connection until it is closed, then opens the next one to the same
+        node. Of four clients one sends requests at a steady pace, one sends several in
+        a row, one opens a new connection every few requests, and one is slow."""
         node = self.f.all()[number % len(self.f.all())]
         habit = ("steady", "bursts", "fickle", "slow")[(number + number // len(self.f.all())) % 4]
-        pace = self.clients / CLIENTS  # one event loop has to serve them all
+        pace = self.clients / CLIENTS  # a single event loop serves all clients
         c, n, left = None, 0, 0
         while not self.stopping:
             n += 1
@@ -205,7 +209,7 @@
                            a.whole and a.head.get("x-server-stamp") == "st-" + rid)
         if self.settled:
             self.served_late["all"] += 1
-            # 401 and 429 are what an unknown key and a limit are told
+            # 401 is the answer to an unknown key, 429 to a request above the limit
             good = (200, 401, 429) if self.tenancy else (200,)
             self.served_late["good"] += a.status in good and a.whole
         if a.status == 200 and a.whole:
@@ -232,9 +236,10 @@
                 self.fail(f"{rid}: answered {self.outcome[rid]} and ran")
 
     def check_planned(self):
-        """Planned work alone loses nothing: what a server has begun is answered
-        or reaches its time, a connection that closes does so at once, and no
-        server works on for a caller that was answered or cut off."""
+        """Checks that planned work alone loses nothing: a request whose execution has
+        begun is answered or reaches its time limit, a connection that is closed without
+        an answer is closed at once, and no server goes on executing a request whose
+        caller was answered or lost its connection."""
         for rid, (kind, node, sent) in self.asked.items():
             end, answered = self.ended[rid]
             if not self.calm(sent, end + GONE_S):
@@ -255,9 +260,10 @@
                 self.fail(f"ran on: {what}")
 
     async def follow(self):
-        """A relay listens while its node does: what stands between two hosts
-        takes no connection for a process that is gone. One that it took would
-        bear requests that may have run for all their sender knows."""
+        """Makes each relay listen only while its node does. A relay that accepted a
+        connection for a process that is gone would accept requests too, and their sender
+        would have to assume that they may have been executed. No device between two real
+        hosts does that."""
         while not self.planned:
             for n in self.f.all():
                 up = n.proc.poll() is None and time.monotonic() - n.started > UP_S
@@ -268,7 +274,8 @@
             await asyncio.sleep(0.005)
 
     async def probe_config(self):
-        """Undisturbed nodes serve the newest route in time and never go back."""
+        """Checks that undisturbed nodes serve the newest route in time and that no node
+        returns to an older configuration."""
         newest = {}
         while not self.stopping:
             woken = time.monotonic() + 0.3
@@ -285,8 +292,8 @@
                 finally:
                     c.close()
                 key = (node.ip, node.proc.pid)
-                # only a server's answer shows that the route is known: a node
-                # that knows no configuration yet says 503
+                # only a server's answer shows that the node knows the route: a node
+                # without a configuration answers 503
                 if a.status == 200:
                     newest[key] = max(newest.get(key, 0), v)
                 elif a.status == 404 and v == self.version:
@@ -352,7 +359,8 @@
 
 
 def free_net(first):
-    """Others may play here, too: the first number that no store listens at."""
+    """Returns the first net number from `first` on at which no store listens, as other
+    soaks may run on the same machine."""
     for i in range(200):
         net = 10 + (first + i) % 200
         with socket.socket() as s:
--- a/tests/soak/tenancy.py
+++ b/tests/soak/tenancy.py
@@ -1,7 +1,8 @@
-"""Organisations in the soak: whose requests run, and how many of one with a limit."""
+"""Organisations in the soak. Checks that only requests with a known key are executed, and
+that no more requests of an organisation with a limit are executed than it allows."""
 import random
 
-# requests a second that the organisation "capped" may make
+# rate limit of the organisation "capped", in requests per second
 LIMIT = 25
 WINDOW_S = 5.0
 ALLOWED = (LIMIT * WINDOW_S + LIMIT) * 1.25 + 20
@@ -19,12 +20,12 @@
 
 
 class Tenancy:
-    """Draws who asks, and checks what servers saw of it."""
+    """Draws the organisation of each request, and checks what callers and servers receive."""
 
     def __init__(self, seed, fail):
         self.rng = random.Random(f"tenancy {seed}")
         self.fail = fail
-        self.who = {}  # request id -> organisation, None for a key that nobody holds
+        self.who = {}  # request id -> organisation, None for an unknown key
 
     def headers(self, rid):
         name = self.rng.choice(["free", "capped", "capped", "capped", None])
