--- a/tests/e2e.sh
+++ b/tests/e2e.sh
@@ -1,13 +1,14 @@
 #!/bin/sh
-# End-to-end over loopback: the demo fleet serves a mixed workload with
-# hard-retrying clients; the history checker verifies the brief's promises
-# on the history and the backends' execution logs; then a backend dies and
-# its callers get typed answers, not hangs. Prints "N passed, N failed".
+# End-to-end test over loopback: the demo fleet serves a mixed workload of
+# clients that retry aggressively, and histcheck.py verifies the guarantees
+# of the specification on the history and the backend servers' execution
+# logs. Then the backend servers of one service stop, and its callers must
+# get typed answers instead of hanging. Prints "N passed, N failed".
 set -u
 . tools/cluster.sh
 DIR=$(mktemp -d /tmp/lavenderward-e2e.XXXXXX)
 trap 'cluster_stop' EXIT
-# a broken pipe too must not leave processes behind
+# processes are also stopped when the reader of the output closes the pipe
 trap 'exit 130' INT TERM HUP PIPE
 pass=0
 fail=0
@@ -16,7 +17,8 @@
 
 cluster_start "$DIR" 28000 guard || { echo "0 passed, 1 failed"; exit 1; }
 
-# e2e_mixed_load_history: every class served; promises hold on the history
+# Mixed load: requests are served, registrations among them; each caller gets
+# its own answers; the guarantees hold on the history.
 # shellcheck disable=SC2046
 $BIN/lwload --mix "$MIX" $(cluster_nodes) --rate 200 --seconds 3 --client-retries 2 \
 	--history "$DIR/history.txt" >"$DIR/load.txt"
@@ -34,13 +36,10 @@
 	cat "$DIR/check.txt"
 fi
 
-# e2e_backend_down_typed: both billing backends stop; renewals get not_run.
-# Symptom (found here): one renewal came back "done" with its backends gone.
-# Sequence: a first run used idempotency keys k1..kN; a second run of
-#   lwload started its keys at k1 again.
-# Cause: the node rightly replayed the stored answer of the first run's
-#   k1; the load tool's keys were not unique across runs. They now carry
-#   a per-run nonce.
+# e2e_backend_down_typed: both billing backend servers stop; renewals get
+# not_run. The idempotency keys of lwload carry a nonce per run: if a second
+# run started at k1 again, the node would correctly replay the stored answer
+# of the first run's k1, and a renewal would be "done" without a server.
 kill -TERM "$(pid_of backend-3-0)" "$(pid_of backend-3-1)"
 sleep 0.3
 # shellcheck disable=SC2046
--- a/tests/faults.sh
+++ b/tests/faults.sh
@@ -1,19 +1,19 @@
 #!/bin/sh
-# Failure tests over loopback: each starts a small fleet, causes one failure
-# (or two at once) under load, and checks the brief's promises on the
-# history. A test passes on promises and generous bounds only, never on
-# speed, so its verdict does not depend on how busy the machine is.
+# Failure tests over loopback: each test starts a small fleet, causes one
+# failure (or two at once) under load, and checks the guarantees of the
+# specification on the history. Tests check guarantees and generous bounds
+# only, never speed, so that a busy machine does not change the result.
 #
-#   tests/faults.sh [NAME...]     all tests, or the ones named
+#   tests/faults.sh [NAME...]     run all tests, or those given by name
 #
-# Prints "N passed, N failed". A failed test leaves its folder behind.
+# Prints "N passed, N failed". The directory of a failed test is kept.
 set -u
 cd "$(dirname "$0")/.." || exit 2
 . tools/cluster.sh
 ROOT=$(mktemp -d /tmp/lavenderward-faults.XXXXXX)
 DIR=$ROOT
 trap 'cluster_stop' EXIT
-# a broken pipe too must not leave processes behind
+# processes are also stopped when the reader of the output closes the pipe
 trap 'exit 130' INT TERM HUP PIPE
 PORTS=29000
 pass=0
@@ -22,7 +22,7 @@
 MIX='whois-svc/lookup:30~,registrar-core/register:30!,billing-svc/renew:30!,zone-svc/upload:10'
 WRITES='registrar-core/register:50!,billing-svc/renew:50!'
 
-# begin NAME POLICY: a fleet of its own
+# begin NAME: start a fleet for this test only
 begin() {
 	NAME=$1
 	why=""
@@ -32,7 +32,7 @@
 }
 
 expect() {
-	# expect TEXT COMMAND...: note TEXT when COMMAND fails
+	# expect TEXT COMMAND...: record TEXT as a failure if COMMAND fails
 	text=$1
 	shift
 	"$@" || why="$why; $text"
@@ -51,7 +51,7 @@
 	FIGURES=""
 }
 
-# load MIX RATE SECONDS RETRIES: in the background, pid in $LOAD
+# load MIX RATE SECONDS RETRIES: run lwload in the background, its pid is in $LOAD
 load() {
 	# shellcheck disable=SC2046
 	$BIN/lwload --mix "$1" $(cluster_nodes) --rate "$2" --seconds "$3" --workers 128 \
@@ -69,32 +69,32 @@
 		>"$DIR/check.txt"
 }
 
-# answers N OUTCOME of the whole load
+# total OUTCOME: number of requests of the whole load that ended with OUTCOME
 total() { sed -n "s/^total .* \([0-9]*\) $1.*/\1/p;s/^total *\([0-9]*\) $1.*/\1/p" "$DIR/load.txt" | head -1; }
 at_least() { [ "${1:-0}" -ge "$2" ]; }
 at_most() { [ "${1:-999999}" -le "$2" ]; }
 own_answers() { grep -q 'crossed 0$' "$DIR/load.txt"; }
 metric_sum() {
-	# sum of a counter over all nodes
+	# metric_sum NAME: sum of a counter over all nodes
 	for i in 0 1 2 3; do for k in 0 1; do
 		$BIN/lwctl metrics "127.0.0.1:$(port_of $i $k 2)" 2>/dev/null
 	done; done | awk -v m="$1" '$1 == m { s += $2 } END { print s + 0 }'
 }
 in_force_everywhere() {
-	# in_force_everywhere VERSION SECONDS
+	# in_force_everywhere VERSION SECONDS: wait until all nodes have VERSION
 	for _ in $(seq 1 $(($2 * 10))); do
 		[ "$(nodes_with_config "$1")" = 8 ] && return 0
 		sleep 0.1
 	done
 	return 1
 }
-# end NAME with a signal and wait until it is gone: its ports are free then
+# end SIGNAL NAME: signal the process and wait for its exit, which frees its ports
 end() {
 	pid=$(pid_of "$2")
 	kill "-$1" "$pid"
 	wait "$pid" 2>/dev/null
 }
-# until the configuration service answers
+# wait until the configuration service answers
 config_up() {
 	for _ in $(seq 1 100); do
 		$BIN/lwstub-config --to "127.0.0.1:$BASE" --stats >/dev/null 2>&1 && return 0
@@ -105,12 +105,13 @@
 ctl() { $BIN/lwstub-backend --to "127.0.0.1:$(port_of "$1" "$2" 3)" --ctl "$3" >/dev/null; }
 execs_of() { wc -l <"$DIR/exec-$1-$2.log"; }
 
-# Symptom: registrations end unknown, and a repeat could run them twice.
+# Symptom: registrations end as unknown, and a retry could execute them twice.
 # Sequence: under load, every open connection to the billing nodes goes
 #   silent for good, twice; new connections work.
-# Cause: something between the two ends lost track of the connections. The
-#   caller asks on a new connection what became of its attempt: never
-#   received is barred and sent again, done is handed over.
+# Cause: a device between the two ends dropped its state of the connections.
+#   The caller queries the outcome of its attempt on a new connection: an
+#   attempt that was never received is barred and resent, the answer of one
+#   that is done is transferred.
 silent_connections() {
 	RELAYED="3" begin silent_connections
 	load "$WRITES" 120 6 0
@@ -128,10 +129,12 @@
 }
 
 # Symptom: a renewal that was charged is charged again.
-# Sequence: billing runs half of its requests and loses the answers; hard-
-#   retrying clients repeat each at the other node of the service.
-# Cause: the other node knows nothing of the first run. A repeat is marked,
-#   and replayed from the record of the node that ran it, or stays unknown.
+# Sequence: billing loses the answers of half of the requests that it
+#   executes; clients that retry aggressively resend each request to the
+#   other node of the service.
+# Cause: the other node does not know of the first execution. A retry is
+#   marked as such, and is either answered from the record of the node that
+#   executed the request or stays unknown.
 answer_lost() {
 	begin answer_lost
 	ctl 3 0 'lose?percent=50'
@@ -146,11 +149,11 @@
 
 # Symptom: a request is lost, or answered not_run though it ran, when a
 #   process is killed.
-# Sequence: under load one node of billing is killed and started again,
-#   then one backend server of the registrar.
-# Cause: a killed process tells nobody. Open calls end unknown, new ones go
-#   elsewhere, and the restarted node, another incarnation, is trusted only
-#   for what it can know.
+# Sequence: under load one node of billing is killed and restarted, then one
+#   backend server of the registrar.
+# Cause: a killed process sends no notification. Calls in progress end as
+#   unknown, new calls go to other nodes. The restarted node is a new
+#   incarnation, and its answers count only for attempts that it can know.
 kill_node_and_server() {
 	begin kill_node_and_server
 	load "$MIX" 150 7 3
@@ -170,12 +173,13 @@
 	finish
 }
 
-# Symptom: a process that wakes up late runs what its callers gave up on,
-#   or a renewal a second time.
-# Sequence: one billing node is stopped for 3 s under load and goes on; then
-#   the other one.
-# Cause: what waited in its sockets looks fresh to it. Attempts are matched
-#   by record, and the time of the pause is taken off what it finds.
+# Symptom: a process that resumes after a pause executes requests that their
+#   callers have given up, or executes a renewal a second time.
+# Sequence: one billing node is paused for 3 s under load and resumed; then
+#   the other node.
+# Cause: requests that waited in the node's sockets look new to the node.
+#   Attempts are matched against the records, and the duration of the pause
+#   is subtracted from the time that these requests have left.
 late_wake() {
 	begin late_wake
 	load "$MIX" 120 9 2
@@ -192,11 +196,11 @@
 	finish
 }
 
-# Symptom: a maintenance stop cuts off requests.
-# Sequence: one node of each of two services gets SIGTERM, another one
-#   `lwctl drain`, under load; the host list is never told (it lags).
-# Cause: stopping at once. The node refuses new work as not run, finishes
-#   and answers what it has, and only then exits.
+# Symptom: requests are lost in a maintenance stop.
+# Sequence: under load, one node of each of two services gets SIGTERM and
+#   another node `lwctl drain`; the host list is not updated (it lags).
+# Cause: an immediate exit. The node rejects new requests as not_run,
+#   completes and answers those in progress, and only then exits.
 planned_stop() {
 	begin planned_stop
 	load "$MIX" 150 6 3
@@ -219,14 +223,15 @@
 	finish
 }
 
-# Symptom (seen once, under ThreadSanitizer): a renewal ends unknown when a
-#   node exits, though it never reached a server.
+# Symptom (seen once, under ThreadSanitizer): a renewal ends as unknown when a
+#   node exits, although it never reached a server.
 # Sequence: a node drains and exits; a caller sends a request on a connection
-#   it has kept open, as the node closes it.
-# Cause: callers were not told to let go of their connections. Each answer of
-#   a draining node now closes its connection, and the node stays until no
-#   caller has come for a while. A request that meets the exit on a connection
-#   not used since the drain began can still end so.
+#   that it has kept open while the node closes this connection.
+# Cause: callers were not asked to close their connections. Each answer of a
+#   draining node closes its connection, and the node exits only after no
+#   caller has sent a request for a while. A request that is sent during the
+#   exit on a connection not used since the drain began can still end as
+#   unknown.
 drain_closes_connections() {
 	begin drain_closes_connections
 	$BIN/lwctl drain "127.0.0.1:$(port_of 3 0 2)" >/dev/null
@@ -244,12 +249,12 @@
 	finish
 }
 
-# Symptom: a leaving backend server gets new work for as long as the
+# Symptom: a leaving backend server gets new requests for as long as the
 #   platform's host list lags.
-# Sequence: a billing node drains; its backend server keeps running and the
-#   host list keeps naming it live.
-# Cause: trusting the host list alone. The node tells its recent callers
-#   itself, and refuses what still comes.
+# Sequence: a billing node drains; its backend server keeps running, and the
+#   host list still lists it as live.
+# Cause: relying on the host list alone. The node notifies its recent callers
+#   directly, and rejects requests that still arrive.
 leaving_gets_no_work() {
 	begin leaving_gets_no_work
 	load "$WRITES" 100 7 3
@@ -265,19 +270,19 @@
 	finish
 }
 
-# Symptom: a node goes back to an older preset, or stays on it.
-# Sequence: version 2 is in force; the service goes stale (serves version 1)
-#   and then down; a node is killed and started again meanwhile; the service
-#   comes back with version 3.
-# Cause: the restarted node reads an old version, or none. Heartbeats tell
-#   it of version 2 and it fetches that from a peer; no node accepts an
-#   older one.
+# Symptom: a node returns to an older preset, or keeps it.
+# Sequence: version 2 is in force; the configuration service becomes stale
+#   (serves version 1) and then unavailable; meanwhile a node is killed and
+#   restarted; the service returns with version 3.
+# Cause: the restarted node reads an old version, or none. Heartbeats announce
+#   version 2 to the node, which fetches it from a peer; no node accepts an
+#   older version than its own.
 config_stale_and_down() {
 	begin config_stale_and_down
 	config_fault stale
 	write_config "$DIR/c2.toml" 2 peak
 	publish "$DIR/c2.toml"
-	# no node can read version 2 yet: the service serves version 1
+	# no node can read version 2 yet, as the service still serves version 1
 	expect "a node read through the stale service" [ "$(nodes_with_config 2)" = 0 ]
 	config_fault ok
 	expect "version 2 not in force in 4 s" in_force_everywhere 2 4
@@ -287,7 +292,7 @@
 	t0=$(date +%s%N)
 	expect "a node without the service did not get version 2 in 8 s" in_force_everywhere 2 8
 	FIGURES="restarted node has version 2 after $((($(date +%s%N) - t0) / 1000000)) ms with the service down"
-	# it goes stale at version 1 again: nobody may go back
+	# the service serves version 1 again; no node may return to it
 	end TERM config
 	start_config "$DIR/config.toml"
 	expect "the service does not come back" config_up
@@ -295,7 +300,7 @@
 	start_node 2 0
 	expect "the restarted node stays on the stale version" in_force_everywhere 2 8
 	expect "the restarted node read no stale version" grep -q 'E1200.*version=1 ' "$DIR/node-2-0.log"
-	# it must not take requests on the version that the fleet has left
+	# the node must not accept requests while it has the outdated version 1
 	expect "it took requests on the stale version" sh -c \
 		"grep 'E1003' '$DIR/node-2-0.log' | tail -1 | grep -q 'version=2'"
 	sleep 2
@@ -307,13 +312,14 @@
 	finish
 }
 
-# Symptom: a node that the service refuses stays behind; a change is lost.
-# Sequence: the network between the nodes of billing and the rest is cut
-#   under load, and the configuration service goes down at the same time;
-#   both heal; a version published at the end is in force everywhere.
-# Cause: two failures at once. Calls over the cut end not_run or unknown in
-#   good time, and both the calls and the configuration come back by
-#   themselves.
+# Symptom: a node that the configuration service rejects keeps an old version;
+#   a change is lost.
+# Sequence: under load, the billing nodes are partitioned from the rest, and
+#   the configuration service becomes unavailable at the same time; both
+#   recover; a version published at the end is in force everywhere.
+# Cause: two failures at once. Calls across the partition end as not_run or
+#   unknown in good time, and both the calls and the configuration recover
+#   without intervention.
 cut_and_config_down() {
 	RELAYED="3" begin cut_and_config_down
 	load "$MIX" 120 9 2
@@ -329,7 +335,7 @@
 	load_done
 	expect "a promise broke on the history" history_holds
 	expect "a caller got another's answer" own_answers
-	# registrations of the last two seconds are served again
+	# registrations must be served again in the last 1.5 s of the load
 	tail_done=$(awk '$1 == "invoke" && $5 > 7500 && $3 ~ /register/ { want[$2] = 1 }
 		$1 == "complete" && want[$2] && $3 == "done" { n++ } END { print n + 0 }' "$DIR/history.txt")
 	expect "registrations do not come back after the cut" at_least "$tail_done" 10
@@ -337,11 +343,12 @@
 	finish
 }
 
-# Symptom: one slow or failing deep service multiplies into a retry storm.
-# Sequence: billing refuses everything (its backend servers are gone) while
-#   clients retry hard; then one server answers half its requests with 500.
-# Cause: retries at every hop. The budget of a user request holds for its
-#   whole chain, and only the layer nearest the failure uses it.
+# Symptom: retries for a failing service deep in the call chain multiply into
+#   a retry storm.
+# Sequence: billing rejects every request (its backend servers are gone) while
+#   clients retry aggressively.
+# Cause: retries at every hop. The retry budget of a user request applies to
+#   its whole call chain, and only the hop nearest to the failure spends it.
 retry_storm() {
 	begin retry_storm
 	end KILL backend-3-0
@@ -355,7 +362,7 @@
 			awk '/^lw_requests_total/ { s += $2 } END { print s + 0 }')
 		inbound=$((inbound + n))
 	done
-	# each client attempt may reach billing once, plus its budget of 2
+	# each client attempt may reach billing once, plus its retry budget of 2
 	expect "more than 1 + 2 arrivals for each attempt" at_most "$inbound" $((attempts * 3))
 	expect "a promise broke on the history" history_holds
 	expect "a request ended other than not_run" at_most "$(($(total done) + $(total unknown)))" 0
@@ -363,11 +370,11 @@
 	finish
 }
 
-# Symptom: a configuration that fails its checks takes the fleet down.
-# Sequence: two operators race: a bad document, an older version and two
-#   good ones are published in quick succession.
-# Cause: accepting what was published last. A node takes only a valid,
-#   strictly newer version, whatever the order in which it sees them.
+# Symptom: an invalid configuration takes the fleet down.
+# Sequence: two operators publish at the same time: an invalid document, an
+#   older version and two valid ones in quick succession.
+# Cause: accepting whatever was published last. A node accepts only a valid
+#   and strictly newer version, in whatever order the versions arrive.
 operators_race() {
 	begin operators_race
 	write_config "$DIR/c5.toml" 5 peak
@@ -385,7 +392,7 @@
 
 ALL="silent_connections answer_lost kill_node_and_server late_wake planned_stop
 drain_closes_connections leaving_gets_no_work config_stale_and_down cut_and_config_down retry_storm operators_race"
-# a whole run passes over what KNOWN-RED.txt lists, and says so
+# a run of all tests skips those that KNOWN-RED.txt lists, and prints their names
 red() {
 	[ -f KNOWN-RED.txt ] && grep -q "^$1:" KNOWN-RED.txt
 }
--- a/tests/histcheck.py
+++ b/tests/histcheck.py
@@ -1,23 +1,26 @@
 #!/usr/bin/env python3
-"""History checker: verifies the brief's promises on a concurrent run.
+"""History checker: verifies the guarantees of the specification on a concurrent run.
 
 Usage: histcheck.py HISTORY EXECLOG... [--budget N] [--client-retries N]
                     [--reads SVC/ROUTE,..] [--calls ROUTE=N,..]
-Inputs: lwload's history (invoke/complete lines) and the backend stand-ins'
-execution logs (exec SERVICE ROUTE KEY REQUEST_ID).
-  --reads  routes that are idempotent: calls of them may run for a request
-           that is itself answered not_run
-  --calls  how many calls a request of a route makes in all, itself included
+Inputs: lwload's history (invoke/complete lines) and the execution logs of the
+stub backend servers (exec SERVICE ROUTE KEY REQUEST_ID).
+  --budget          retry budget of the whole call chain of a request
+  --client-retries  retries of the client for each user request
+  --reads           idempotent routes: calls of them may be executed for a
+                    request that is itself answered not_run
+  --calls           number of calls that a request of a route makes in all,
+                    including itself
 Checks:
   completed      every request got an answer
   at_most_once   a keyed (non-idempotent) user request, and each keyed call
-                 it made, ran at most once over all servers
-  not_run_honest a request answered not_run ran nowhere, nor did any of its
-                 calls but idempotent ones
-  done_complete  a request answered done ran at its entry service
+                 that it made, was executed at most once over all servers
+  not_run_honest a request answered not_run was executed nowhere, and neither
+                 were its calls, except idempotent ones
+  done_complete  a request answered done was executed at its entry service
   retry_bound    executions per user request stay within its calls plus the
-                 whole-chain budget, for each attempt of the client
-Exit 0 when all hold; prints each violation otherwise.
+                 budget of the whole call chain, for each attempt of the client
+Prints at most 50 violations and a summary. Exits with 0 if all checks hold, 1 otherwise.
 """
 import argparse
 import collections
@@ -51,13 +54,13 @@
 
 
 def read_executions(paths):
-    """Request id -> list of (service, route, key)."""
+    """Returns a map of request id to a list of (service, route, key)."""
     runs = collections.defaultdict(list)
     for path in paths:
         with open(path, encoding="ascii") as f:
             for line in f:
                 w = line.split()
-                # a killed server may leave a cut last line: it did not commit
+                # a killed server may leave an incomplete last line: that request did not commit
                 if len(w) == 5 and w[0] == "exec" and line.endswith("\n"):
                     runs[w[4]].append((w[1], w[2], w[3]))
     return runs
