--- a/fuzz/fuzz_credential.c
+++ b/fuzz/fuzz_credential.c
@@ -1,6 +1,6 @@
 /*
- * libFuzzer target: keys in heads of requests. What is found lies inside the head, and
- * what is sent on carries no key and nothing the caller says of its organisation.
+ * libFuzzer target: API keys in request heads. A key that is found must lie inside the head,
+ * and the forwarded head must contain neither a credential nor the caller's organisation header.
  */
 #include <stdint.h>
 #include <stdlib.h>
--- a/fuzz/fuzz_documents.c
+++ b/fuzz/fuzz_documents.c
@@ -1,4 +1,4 @@
-/* libFuzzer target: the documents of the platform's store, and matching routes. */
+/* libFuzzer target: parsers of the documents in the configuration store, and route matching. */
 #include <stdint.h>
 
 #include "../platform/documents.h"
--- a/fuzz/fuzz_frame.c
+++ b/fuzz/fuzz_frame.c
@@ -1,6 +1,6 @@
 /*
- * libFuzzer target: the frame decoder, and what a node reads out of a
- * decoded request. Whatever the bytes, it must answer with a status.
+ * libFuzzer target: the frame decoder, and the conversion of a decoded request
+ * frame. Both must return a status for any input.
  */
 #include <stdint.h>
 #include <stdlib.h>
--- a/fuzz/fuzz_httphead.c
+++ b/fuzz/fuzz_httphead.c
@@ -1,6 +1,6 @@
 /*
- * libFuzzer target: heads of requests and responses. Whatever is accepted must
- * be accepted again, with the same meaning, once it has been written out.
+ * libFuzzer target: HTTP request and response heads. A head that is accepted and
+ * written out must be accepted again with the same meaning.
  */
 #include <stdint.h>
 #include <stdlib.h>
@@ -30,7 +30,7 @@
 	if (lw_httphead_parse(&first, &parser, &lw_platform_names,
 			      (lw_str_t){ (const char *)data, end }))
 		return 0;
-	/* one header is added below: a head at the limit would pass it */
+	/* one header is added below, so a head with LW_HTTP_HEADERS_MAX would exceed the limit */
 	if (first.nfields == LW_HTTP_HEADERS_MAX)
 		return 0;
 	lw_httphead_forward(&first, false, &out);
--- a/fuzz/fuzz_meshframe.c
+++ b/fuzz/fuzz_meshframe.c
@@ -1,4 +1,4 @@
-/* libFuzzer target: frames between lwproxy processes, and what is read out of them. */
+/* libFuzzer target: frames between lwproxy processes, and the readers of their contents. */
 #include <stdint.h>
 #include <stdlib.h>
 
@@ -6,7 +6,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t len);
 
-/* a piece of a document, as the first one and as the last one */
+/* Takes a piece as the first one of a transfer, and unpacks it as a whole server list. */
 static void take_piece(const Lw__Piece *in)
 {
 	static lw_revdoc_t doc;
@@ -26,7 +26,7 @@
 		lw_serverlist_free(sl);
 }
 
-/* a piece that another node asks for */
+/* Produces the piece of a document that another node requests. */
 static void give_piece(const Lw__Fetch *in)
 {
 	static lw_revdoc_t doc;
--- a/fuzz/fuzz_platconf.c
+++ b/fuzz/fuzz_platconf.c
@@ -1,4 +1,4 @@
-/* libFuzzer target: the platform configuration document. */
+/* libFuzzer target: the parser of the platform configuration document. */
 #include <stddef.h>
 #include <stdint.h>
 
--- a/fuzz/fuzz_settings.c
+++ b/fuzz/fuzz_settings.c
@@ -1,4 +1,4 @@
-/* libFuzzer target: the node settings loader. */
+/* libFuzzer target: the parser of the node settings file. */
 #include <stddef.h>
 #include <stdint.h>
 
--- a/tests/soak/announcing.py
+++ b/tests/soak/announcing.py
@@ -29,7 +29,7 @@
     def __init__(self, soak):
         self.soak = soak
         self.process = {}  # request id -> process of the node that its caller sent it to
-        self.told = {}  # (process, server's id, kind) -> time
+        self.told = {}  # (process, server's id, kind) -> time of the first forwarded announcement
         self.touched = []  # (time, ip) of each fault; it exempts the node from the checks
         self.named = []  # [server's id, server, begin, end, highest limit]
         self.left = 0
--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# make bench: the slopes behind docs/CAPACITY.md and docs/MEASUREMENTS.md,
-# measured on loopback with the stand-ins. Figures are printed as
-# "name value unit"; the machine is shared, so compare within one run.
+# make bench: measures the cost figures that docs/CAPACITY.md and
+# docs/MEASUREMENTS.md use, on loopback with the stub servers. Prints lines
+# "name value unit". The machine is shared, so compare figures only within
+# one run.
 #
 #   tools/bench.sh [PART...]    latency control config memory fleet surge
 #
@@ -11,13 +12,13 @@
 . tools/cluster.sh
 DIR=$(mktemp -d /tmp/lavenderward-bench.XXXXXX)
 trap 'cluster_stop' EXIT
-# a broken pipe too must not leave processes behind
+# processes are also stopped when the reader of the output closes the pipe
 trap 'exit 130' INT TERM HUP PIPE
 HZ=$(getconf CLK_TCK)
 out() { echo "$1 $2 $3"; }
 calc() { awk "BEGIN { printf \"%.3f\", $1 }"; }
 
-# user+system ticks of all nodes
+# user and system CPU time of all nodes, in clock ticks
 cpu_ticks() {
 	t=0
 	for pid in $(node_pids); do
@@ -80,7 +81,7 @@
 	cluster_stop
 }
 
-# publish version $1 with preset $2, print the time until all 8 nodes hold it
+# publish version $1 with preset $2 and print the milliseconds until all 8 nodes have it
 time_change() {
 	write_config "$DIR/c$1.toml" "$1" "$2"
 	t0=$(date +%s%N)
@@ -114,7 +115,7 @@
 }
 
 big_document() {
-	# $1 hosts in 85 services, version $2; the first is the node under test
+	# $1 hosts in 85 services, version $2; the first host is the node under test at address $3
 	{
 		echo "version = $2"
 		echo 'preset = "ordinary"'
@@ -214,7 +215,8 @@
 	done
 }
 
-# one surge run: NAME POLICY SECONDS; the deep service is slowed during it
+# surge_run NAME POLICY SECONDS: one run; the payment service is slowed down
+# from 4 s to 10 s after its start
 surge_run() {
 	SERVICE_MS=20 cluster_start "$DIR" 21000 "$2" || exit 1
 	# shellcheck disable=SC2046
--- a/tools/cluster.sh
+++ b/tools/cluster.sh
@@ -1,16 +1,18 @@
 #!/bin/sh
-# Start a small Wierzba Registry Mesh-like fleet on loopback: one config
-# stand-in, two stand-in backends per service, each with its own lwnode.
-# Sourced by demo.sh, e2e.sh and bench.sh. Every pid started is written to
-# $DIR/pids; cluster_stop ends exactly those.
+# Starts a small fleet like the Wierzba Registry Mesh on loopback: one stub
+# configuration service, and two stub backend servers per service, each with
+# its own lwnode. Sourced by demo.sh, e2e.sh, faults.sh and bench.sh. The pid
+# of every started process is written to $DIR/pids; cluster_stop stops
+# exactly these.
 #
 #   cluster_start DIR BASEPORT POLICY    (POLICY: guard or naive)
 
 BIN=${BIN:-build}
 SITE=${SITE:-wierzba}
 
-# the deployment's four services in this order: the browsed one, the one whose
-# requests call two others, the one with uploads, the deep payment one
+# the four services of the deployment, in this order: the one with most reads,
+# the one whose requests call two others, the one with uploads, and the payment
+# service at the end of the call chain
 if [ "$SITE" = kandy ]; then
 	SERVICES="showroom orderbook drawing-room till"
 	SLOTS="14 14 14 6"
@@ -25,7 +27,7 @@
 	MIX='whois-svc/lookup:60~,registrar-core/register:10!,billing-svc/renew:10!,zone-svc/upload:20'
 fi
 
-# the N-th word, from 0, of the rest of the arguments
+# word N ARGUMENT...: the N-th of the arguments, counted from 0
 word() {
 	shift "$(($1 + 1))"
 	echo "$1"
@@ -40,7 +42,7 @@
 	{
 		echo "version = $2"
 		echo "preset = \"$3\""
-		# QUEUE_MS: an experiment's queue bound instead of the presets'
+		# QUEUE_MS replaces the queue bound of the presets in experiments
 		sed "s/^queue_ms = .*/queue_ms = ${QUEUE_MS:-&}/; s/= queue_ms = /= /" "$PRESETS"
 		i=0
 		for s in $SERVICES; do
@@ -58,7 +60,7 @@
 }
 
 publish() {
-	# $1 = config file: the operators publish it on the platform
+	# $1 = configuration file to publish, as an operator would
 	$BIN/lwstub-config --to "127.0.0.1:$BASE" --publish "$1" >/dev/null
 }
 
@@ -76,7 +78,7 @@
 # shellcheck disable=SC2086
 slots_of() { word "$1" $SLOTS; }
 
-# the address peers use: behind a relay, for the services in $RELAYED
+# port that peers connect to: the relay's for the services in $RELAYED
 peer_port_of() {
 	case " ${RELAYED:-} " in
 	*" $1 "*) port_of "$1" "$2" 4 ;;
@@ -84,7 +86,7 @@
 	esac
 }
 
-# what runs: lines "KIND-SERVICE-INSTANCE PID" in $DIR/pids, newest last
+# started processes: lines "KIND-SERVICE-INSTANCE PID" in $DIR/pids, newest last
 note_pid() { echo "$1 $2" >>"$DIR/pids"; }
 pid_of() { sed -n "s/^$1 //p" "$DIR/pids" | tail -1; }
 all_pids() { cut -d' ' -f2 "$DIR/pids"; }
@@ -122,7 +124,7 @@
 }
 
 start_config() {
-	# $1 = the document it starts with
+	# $1 = initial configuration document
 	$BIN/lwstub-config --listen "127.0.0.1:$BASE" --load "lavenderward=$1" \
 		2>>"$DIR/config.log" &
 	note_pid config $!
@@ -130,7 +132,7 @@
 
 status_of() { $BIN/lwctl status "127.0.0.1:$(port_of "$1" "$2" 2)" 2>/dev/null; }
 
-# nodes that hold configuration version $1 or newer
+# number of nodes that have joined and have configuration version $1 or newer
 nodes_with_config() {
 	n=0
 	for i in 0 1 2 3; do
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
-# make demo: a Wierzba Registry Mesh-like fleet on loopback serves a short
-# mixed workload end to end, then one request whose backend is down.
+# make demo: a fleet like the Wierzba Registry Mesh on loopback serves a short
+# mixed workload end to end, then requests whose backend servers are down.
 set -u
 . tools/cluster.sh
 DIR=$(mktemp -d /tmp/lavenderward-demo.XXXXXX)
 trap 'cluster_stop' EXIT
-# a broken pipe too must not leave processes behind
+# processes are also stopped when the reader of the output closes the pipe
 trap 'exit 130' INT TERM HUP PIPE
 cluster_start "$DIR" 27000 guard || exit 1
 echo "== demo: 8 nodes, 8 stand-in backends, 1 config stand-in on loopback"
--- a/tools/deps.sh
+++ b/tools/deps.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Install the Debian packages the build needs, once; a no-op when present.
+# Installs the Debian packages that the build needs, if any are missing.
 set -e
 PKGS="liburcu-dev libprotobuf-c-dev libmicrohttpd-dev libneon27-dev libargtable2-dev libcunit1-dev libtomlplusplus-dev libxxhash-dev libcairo2-dev libclang-rt-14-dev uthash-dev libev-dev libhttp-parser-dev libjansson-dev libzstd-dev nettle-dev"
 missing=""
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# make fuzz: every decoder under libFuzzer with AddressSanitizer and UBSan,
-# for a bounded time each (FUZZ_SECONDS, default 20). Seeds: the demo and
-# test documents and frames of every kind. Exits 1 on the first finding.
+# make fuzz: runs every decoder under libFuzzer with AddressSanitizer and
+# UBSan, each for FUZZ_SECONDS seconds (default 20). The seed corpus consists
+# of demo and test documents and sample HTTP heads. Exits with 1 on the first
+# finding.
 set -e
 SECONDS_EACH=${FUZZ_SECONDS:-20}
 OUT=build/fuzz
--- a/tools/meshbench.py
+++ b/tools/meshbench.py
@@ -1,6 +1,6 @@
-"""Measures lwproxy over loopback: memory of a connection, processor time of a
-request, time from a caller's close to the server's cancellation, and what the
-control traffic costs as the fleet grows. Run: make meshbench"""
+"""Measures lwproxy over loopback: memory per connection, processor time per request,
+time from a caller's close until its request is cancelled at the server, and the cost of
+control traffic as the fleet grows. Run: make meshbench"""
 import asyncio
 import os
 import sys
--- a/tools/orgbench.c
+++ b/tools/orgbench.c
@@ -1,6 +1,7 @@
 /*
- * What organisations cost at the two-year size: bytes a key, time of a lookup and of a
- * limit's decision, time of a changed configuration. Prints "name value unit".
+ * Measures the cost of organisations at the size that is expected in two years: memory per
+ * key, and the time of a key lookup, of a rate limit decision, of a usage report to the quota
+ * coordinator and of loading a configuration. Prints lines "name value unit".
  */
 #include <malloc.h>
 #include <stdio.h>
