--- a/src/caller.c
+++ b/src/caller.c
@@ -1,4 +1,4 @@
-/* Connections of callers; see caller.h. */
+/* Connections of callers: accept, write, timeouts and close; see caller.h. */
 #include "caller_int.h"
 
 #include <errno.h>
@@ -12,17 +12,20 @@
 #define BODY_DEFAULT_BYTES (64u * 1024 * 1024)
 #define HEAD_DEFAULT_MS	   3000
 #define IDLE_DEFAULT_MS	   15000
-/* a connection without a request is not closed for a stop while it is younger, us */
-#define FRESH_US 500000
-/* descriptors left for peers, the backend server and files */
+/* when the node stops, connections without a request are kept open until they are this old, us */
+#define NEW_CONN_US 500000
+/* file descriptors reserved for peers, the backend server and files */
 #define FDS_RESERVED 700
 
-/* lw_caller_watch() - wait for what the connection needs next: bytes, or room to write. */
+/*
+ * lw_caller_watch() - wait for the events that the connection needs next: readable, writable or
+ * both.
+ */
 void lw_caller_watch(lw_caller_t *c)
 {
 	int events = 0;
-	bool full = (c->state == CALLER_BODY && c->x && lw_exchange_full(c->x)) ||
-		    lw_bytebuf_len(&c->in) >= AHEAD_MAX_BYTES;
+	bool full = (c->state == CALLER_BODY && c->x && lw_exchange_body_full(c->x)) ||
+		    lw_bytebuf_len(&c->in) >= READ_AHEAD_MAX_BYTES;
 
 	if (c->closed)
 		return;
@@ -32,13 +35,13 @@
 		events |= EV_WRITE;
 	if (c->io.events == events && ev_is_active(&c->io))
 		return;
-	ev_io_stop(c->set->hub->loop, &c->io);
+	ev_io_stop(c->set->evloop->loop, &c->io);
 	ev_io_set(&c->io, c->fd, events);
 	if (events)
-		ev_io_start(c->set->hub->loop, &c->io);
+		ev_io_start(c->set->evloop->loop, &c->io);
 }
 
-/* lw_caller_close() - close the connection; a request under way is cancelled. */
+/* lw_caller_close() - close the connection; a request in progress is cancelled. */
 void lw_caller_close(lw_caller_t *c)
 {
 	lw_exchange_t *x = c->x;
@@ -47,9 +50,9 @@
 		return;
 	c->closed = true;
 	c->x = NULL;
-	ev_io_stop(c->set->hub->loop, &c->io);
-	ev_clear_pending(c->set->hub->loop, &c->io);
-	if (c->cut)
+	ev_io_stop(c->set->evloop->loop, &c->io);
+	ev_clear_pending(c->set->evloop->loop, &c->io);
+	if (c->reset_on_close)
 		lw_sock_abort(c->fd);
 	else
 		close(c->fd);
@@ -62,14 +65,17 @@
 	c->set->count--;
 	lw_bytebuf_free(&c->in);
 	lw_bytebuf_free(&c->out);
-	lw_hub_free_later(c->set->hub, c);
+	lw_evloop_free_later(c->set->evloop, c);
 	if (x) {
 		c->set->stats.left++;
 		lw_exchange_cancel(x);
 	}
 }
 
-/* lw_caller_flush() - give the kernel what it takes now, the rest when it can. */
+/*
+ * lw_caller_flush() - write as much as the kernel accepts; the rest follows when the socket is
+ * writable.
+ */
 void lw_caller_flush(lw_caller_t *c)
 {
 	while (!c->closed && lw_bytebuf_len(&c->out)) {
@@ -92,7 +98,7 @@
 
 		c->uncredited = 0;
 		if (taken && c->x)
-			lw_exchange_taken(c->x, taken);
+			lw_exchange_credit(c->x, taken);
 		if (c->closing) {
 			lw_caller_close(c);
 			return;
@@ -131,7 +137,7 @@
 	c->fd = fd;
 	lw_sock_allow_pauses(fd, true);
 	c->ready_only = l->ready_only;
-	c->since_us = cs->hub->now_us;
+	c->since_us = cs->evloop->now_us;
 	ev_io_init(&c->io, on_io, fd, 0);
 	c->io.data = c;
 	c->next = cs->conns;
@@ -150,14 +156,14 @@
 
 	(void)loop;
 	(void)revents;
-	while (l->set->count + FDS_RESERVED < l->set->hub->set->max_fds || l->ready_only) {
+	while (l->set->count + FDS_RESERVED < l->set->evloop->set->max_fds || l->ready_only) {
 		fd = lw_sock_accept(l->fd);
 		if (fd < 0)
 			return;
 		caller_new(l, fd);
 	}
-	/* as many connections as there are descriptors: the rest wait */
-	ev_io_stop(l->set->hub->loop, &l->io);
+	/* file descriptors are exhausted: further connections wait in the backlog */
+	ev_io_stop(l->set->evloop->loop, &l->io);
 }
 
 static void check_timeouts(lw_callers_t *cs, lw_caller_t *c, uint64_t now)
@@ -180,7 +186,7 @@
 static void on_tick(void *ctx)
 {
 	lw_callers_t *cs = ctx;
-	uint64_t now = cs->hub->now_us;
+	uint64_t now = cs->evloop->now_us;
 	lw_caller_t *next;
 
 	read_limits(cs);
@@ -190,33 +196,33 @@
 	}
 	for (lw_listener_t *l = cs->listeners; l; l = l->next)
 		if (l->fd >= 0 && !ev_is_active(&l->io) &&
-		    cs->count + FDS_RESERVED < cs->hub->set->max_fds)
-			ev_io_start(cs->hub->loop, &l->io);
+		    cs->count + FDS_RESERVED < cs->evloop->set->max_fds)
+			ev_io_start(cs->evloop->loop, &l->io);
 }
 
-/* the host was suspended: what lies unread is old by that time */
-static void on_wake(struct ev_loop *loop, ev_check *w, int revents)
+/* the host was suspended: unread data is older by the duration of the suspend */
+static void on_resume(struct ev_loop *loop, ev_check *w, int revents)
 {
 	lw_callers_t *cs = w->data;
 
 	(void)loop;
 	(void)revents;
-	if (!cs->hub->slept_us)
+	if (!cs->evloop->suspended_us)
 		return;
 	for (lw_caller_t *c = cs->conns; c; c = c->next)
-		c->late_us = cs->hub->slept_us;
+		c->late_us = cs->evloop->suspended_us;
 }
 
-/* lw_callers_set_ready() - what the platform hears when it asks. */
+/* lw_callers_set_ready() - set the answer to the platform's readiness check. */
 void lw_callers_set_ready(lw_callers_t *cs, bool ready)
 {
 	cs->ready = ready;
 }
 
 /*
- * lw_callers_close_idle() - close connections that carry no request now, but for
- * fresh ones: the first request of a caller, or a call of running work, may lie
- * unread in the kernel (8 of 433 runs with a call failed so).
+ * lw_callers_close_idle() - close connections that carry no request, except recently opened ones.
+ * The first request of a caller, or a nested call of an executing request, may still be unread in
+ * the kernel (8 of 433 requests with a nested call failed that way).
  */
 void lw_callers_close_idle(lw_callers_t *cs)
 {
@@ -224,25 +230,25 @@
 
 	for (lw_caller_t *c = cs->conns; c; c = next) {
 		next = c->next;
-		if (cs->hub->now_us - c->since_us >= FRESH_US && c->state == CALLER_HEAD &&
+		if (cs->evloop->now_us - c->since_us >= NEW_CONN_US && c->state == CALLER_HEAD &&
 		    !lw_bytebuf_len(&c->in) && !c->ready_only && !lw_bytebuf_len(&c->out))
 			lw_caller_close(c);
 	}
 }
 
-/* lw_callers_close_listeners() - no new connections of callers from now on. */
+/* lw_callers_close_listeners() - accept no more connections of callers. */
 void lw_callers_close_listeners(lw_callers_t *cs)
 {
 	for (lw_listener_t *l = cs->listeners; l; l = l->next) {
 		if (l->ready_only || l->fd < 0)
 			continue;
-		ev_io_stop(cs->hub->loop, &l->io);
+		ev_io_stop(cs->evloop->loop, &l->io);
 		close(l->fd);
 		l->fd = -1;
 	}
 }
 
-/* lw_callers_unwritten() - whether a caller has not taken all of an answer yet. */
+/* lw_callers_unwritten() - whether any answer has not been written completely. */
 bool lw_callers_unwritten(const lw_callers_t *cs)
 {
 	for (const lw_caller_t *c = cs->conns; c; c = c->next)
@@ -251,29 +257,32 @@
 	return false;
 }
 
-/* lw_callers_end() - the process exits: close everything, so that nobody waits for its last lines. */
-void lw_callers_end(lw_callers_t *cs)
+/*
+ * lw_callers_close_all() - close all listeners and connections before the process exits, so that
+ * no caller waits while the process writes its last log lines.
+ */
+void lw_callers_close_all(lw_callers_t *cs)
 {
 	lw_callers_close_listeners(cs);
 	while (cs->conns)
 		lw_caller_close(cs->conns);
 }
 
-/* lw_callers_count() - open connections. */
+/* lw_callers_count() - number of open connections. */
 uint32_t lw_callers_count(const lw_callers_t *cs)
 {
 	return cs->count;
 }
 
-/* lw_callers_stats() - counts since the start. */
+/* lw_callers_stats() - counters since the start. */
 const lw_callers_stats_t *lw_callers_stats(const lw_callers_t *cs)
 {
 	return &cs->stats;
 }
 
 /*
- * lw_callers_listen() - accept connections at "ip:port". @ready_only: only
- * the platform's question whether this node is ready is answered there.
+ * lw_callers_listen() - accept connections at "ip:port" @addr. @ready_only: the listener serves
+ * only the platform's readiness check.
  */
 lw_status_t lw_callers_listen(lw_callers_t *cs, const char *addr, bool ready_only)
 {
@@ -289,22 +298,22 @@
 	cs->listeners = l;
 	ev_io_init(&l->io, on_accept, l->fd, EV_READ);
 	l->io.data = l;
-	ev_io_start(cs->hub->loop, &l->io);
+	ev_io_start(cs->evloop->loop, &l->io);
 	return LW_OK;
 }
 
-/* lw_callers_new() - no connections yet. */
+/* lw_callers_new() - create the connection set of @engine, without listeners. */
 lw_callers_t *lw_callers_new(lw_engine_t *engine)
 {
 	lw_callers_t *cs = xcalloc(1, sizeof(*cs));
 
 	cs->engine = engine;
-	cs->hub = engine->hub;
+	cs->evloop = engine->evloop;
 	cs->limits = (lw_fleet_limits_t){ HEAD_DEFAULT_BYTES, BODY_DEFAULT_BYTES, HEAD_DEFAULT_MS,
 					  IDLE_DEFAULT_MS };
-	ev_check_init(&cs->wake, on_wake);
-	cs->wake.data = cs;
-	ev_check_start(cs->hub->loop, &cs->wake);
-	lw_hub_on_tick(cs->hub, on_tick, cs);
+	ev_check_init(&cs->resume_check, on_resume);
+	cs->resume_check.data = cs;
+	ev_check_start(cs->evloop->loop, &cs->resume_check);
+	lw_evloop_on_tick(cs->evloop, on_tick, cs);
 	return cs;
 }
--- a/src/callerread.c
+++ b/src/callerread.c
@@ -1,19 +1,19 @@
-/* Reading requests of callers, strictly one after the other. */
+/* Reads the requests of callers, strictly one after the other. */
 #include "caller_int.h"
 
 #include <errno.h>
 #include <string.h>
 #include <sys/socket.h>
 
-/* read at once; a request of the usual size comes with one system call */
+/* bytes per read; one system call reads a request of the usual size */
 #define READ_BYTES 16384
 
-/* lw_caller_reject() - a request that cannot be taken: answer and close */
+/* lw_caller_reject() - answer a request that cannot be accepted, then close the connection. */
 void lw_caller_reject(lw_caller_t *c, uint32_t status, const char *why)
 {
 	c->keep = false;
 	c->body_done = true;
-	lw_caller_put_own(c, status, why, 0);
+	lw_caller_put_local_answer(c, status, why, 0);
 	c->closing = true;
 	lw_caller_flush(c);
 }
@@ -27,7 +27,7 @@
 		lw_exchange_body(c->x, (lw_str_t){ at, len }, false);
 	if (c->closed)
 		return 1;
-	if (c->x && lw_exchange_full(c->x))
+	if (c->x && lw_exchange_body_full(c->x))
 		http_parser_pause(p, 1);
 	return 0;
 }
@@ -49,7 +49,7 @@
 static void next_request(lw_caller_t *c)
 {
 	c->state = CALLER_HEAD;
-	c->since_us = c->set->hub->now_us;
+	c->since_us = c->set->evloop->now_us;
 	c->answered = false;
 	if (c->closing || !c->keep) {
 		c->closing = true;
@@ -57,7 +57,7 @@
 	}
 }
 
-/* the request is complete: tell the exchange, wait for its answer */
+/* the request is complete: notify the exchange and wait for its answer */
 static void body_complete(lw_caller_t *c)
 {
 	c->state = CALLER_WAIT;
@@ -67,14 +67,14 @@
 		next_request(c);
 }
 
-/* false: more bytes are needed or the connection is done */
+/* returns false if more bytes are needed or the connection is finished */
 static bool read_body(lw_caller_t *c)
 {
 	size_t len = lw_bytebuf_len(&c->in);
 	size_t used;
 	enum http_errno err;
 
-	if (!len || (c->x && lw_exchange_full(c->x)))
+	if (!len || (c->x && lw_exchange_body_full(c->x)))
 		return false;
 	http_parser_pause(&c->parser, 0);
 	used = http_parser_execute(&c->parser, &body_settings, lw_bytebuf_head(&c->in), len);
@@ -105,20 +105,20 @@
 
 static void serve_ready(lw_caller_t *c, const lw_httphead_t *h)
 {
-	bool asked = lw_str_eq_c(h->target, c->set->hub->names->ready_path);
-	bool ready = c->set->ready && !c->set->hub->leaving;
+	bool asked = lw_str_eq_c(h->target, c->set->evloop->names->ready_path);
+	bool ready = c->set->ready && !c->set->evloop->leaving;
 
 	c->body_done = true;
 	if (!asked)
-		lw_caller_put_own(c, 404, "unknown_path", 0);
+		lw_caller_put_local_answer(c, 404, "unknown_path", 0);
 	else
-		lw_caller_put_own(c, ready ? 200 : 503, ready ? "ready" : "not_ready", 0);
+		lw_caller_put_local_answer(c, ready ? 200 : 503, ready ? "ready" : "not_ready", 0);
 	lw_caller_answer_done(c);
 }
 
 static void begin_request(lw_caller_t *c, const lw_httphead_t *h)
 {
-	lw_exchange_ask_t ask = {
+	lw_exchange_request_t req = {
 		.head = h,
 		.body_length = h->body_length,
 		.late_us = c->late_us,
@@ -130,7 +130,7 @@
 	c->body_seen = 0;
 	c->body_done = h->body_length == 0;
 	c->answered = false;
-	c->since_us = c->set->hub->now_us;
+	c->since_us = c->set->evloop->now_us;
 	c->state = c->body_done ? CALLER_WAIT : CALLER_BODY;
 	if (c->ready_only) {
 		serve_ready(c, h);
@@ -144,18 +144,18 @@
 	if (h->expect_continue)
 		lw_bytebuf_append_c(&c->out, "HTTP/1.1 100 Continue\r\n\r\n");
 	c->starting = true;
-	c->x = lw_exchange_start(c->set->engine, &c->reply, &ask);
+	c->x = lw_exchange_start(c->set->engine, &c->reply, &req);
 	c->starting = false;
 }
 
-/* empty lines before a request are left out (RFC 9112, 2.2) */
+/* skips empty lines before a request (RFC 9112, 2.2) */
 static void skip_empty_lines(lw_caller_t *c)
 {
 	while (lw_bytebuf_len(&c->in) >= 2 && memcmp(lw_bytebuf_head(&c->in), "\r\n", 2) == 0)
 		lw_bytebuf_consume(&c->in, 2);
 }
 
-/* false: the head is not complete or the connection is done */
+/* returns false if the head is incomplete or the connection is finished */
 static bool read_head(lw_caller_t *c)
 {
 	static lw_httphead_t head;
@@ -172,7 +172,7 @@
 	if (!len)
 		return false;
 	http_parser_init(&c->parser, HTTP_REQUEST);
-	err = lw_httphead_parse(&head, &c->parser, c->set->hub->names, block);
+	err = lw_httphead_parse(&head, &c->parser, c->set->evloop->names, block);
 	if (err || (!head.host.ptr && !c->ready_only)) {
 		c->set->stats.malformed++;
 		lw_caller_reject(c, err == LW_HTTPHEAD_TOO_LARGE ? 431 : 400, "malformed_request");
@@ -193,7 +193,7 @@
 	return !c->closed;
 }
 
-/* lw_caller_process() - act on what has been read */
+/* lw_caller_process() - process the data read so far. */
 void lw_caller_process(lw_caller_t *c)
 {
 	bool more = true;
@@ -219,14 +219,14 @@
 }
 
 /*
- * lw_caller_readable() - All that has arrived is read before it is acted on: a caller that sent a
- * request and left meanwhile is noticed before its request starts.
+ * lw_caller_readable() - read all data that has arrived before processing any of it, so that a
+ * caller that sent a request and has disconnected since is noticed before its request starts.
  */
 void lw_caller_readable(lw_caller_t *c)
 {
 	if (c->state == CALLER_HEAD && !lw_bytebuf_len(&c->in))
-		c->since_us = c->set->hub->now_us;
-	while (!c->eof && lw_bytebuf_len(&c->in) < AHEAD_MAX_BYTES) {
+		c->since_us = c->set->evloop->now_us;
+	while (!c->eof && lw_bytebuf_len(&c->in) < READ_AHEAD_MAX_BYTES) {
 		char *room = lw_bytebuf_reserve(&c->in, READ_BYTES);
 		ssize_t n = recv(c->fd, room, READ_BYTES, 0);
 
--- a/src/exchadmit.c
+++ b/src/exchadmit.c
@@ -1,6 +1,6 @@
 /*
- * Whether a request of a caller may begin: who asks, on which route and terms, and
- * whether what it leads to, and its organisation's limit, have room for it.
+ * Admission of a caller's request: identifies the caller, determines the route and its terms, and
+ * checks the services on the call path and the organisation's rate limit for room.
  */
 #include "exchange_int.h"
 
@@ -8,31 +8,31 @@
 #include <string.h>
 #include <utlist.h>
 
-#include "comeback.h"
+#include "retryafter.h"
 #include "credential.h"
 #include "log.h"
 #include "xalloc.h"
 
-/* a request without a deadline of its own and no route timeout, ms */
+/* deadline of a request if neither the caller nor the route sets one, ms */
 #define DEADLINE_DEFAULT_MS 30000
-/* the server's own answer at the deadline is waited for a little, ms */
-#define TIMEOUT_SLACK_MS 15
+/* extra time for the server's answer at the deadline, ms */
+#define TIMEOUT_MARGIN_MS 15
 /*
- * A node whose news from the store is older than this cannot tell a wrong key
- * from a new one. A caller does not repeat a request that was answered 401, so it
- * is told to come back instead, ms.
+ * A node whose last store update is older than this cannot distinguish an invalid API key from a
+ * new one. As callers do not retry a request after a 401, such a node answers 503 with a
+ * retry-after delay instead, ms.
  */
-#define KEYS_OLD_MS 2500
+#define KEYS_STALE_MS 2500
 
-/* Who sent a request. */
+/* Result of identifying the sender of a request. */
 typedef enum lw_identity {
-	LW_IDENTITY_KNOWN, /* an organisation, or none where none is asked for */
-	LW_IDENTITY_UNKNOWN, /* no key, or one that nobody holds */
-	LW_IDENTITY_UNSURE, /* likewise, but this node's keys may be old */
-	LW_IDENTITY_AMBIGUOUS, /* two keys */
+	LW_IDENTITY_KNOWN, /* an organisation, or none where none is required */
+	LW_IDENTITY_UNKNOWN, /* no API key, or an unknown one */
+	LW_IDENTITY_UNSURE, /* no API key or an unknown one, but this node's keys may be stale */
+	LW_IDENTITY_AMBIGUOUS, /* two API keys */
 } lw_identity_t;
 
-static uint32_t header_ms(const lw_httphead_t *h)
+static uint32_t read_deadline_ms(const lw_httphead_t *h)
 {
 	lw_str_t v = lw_httphead_find(h, LW_HEADER_DEADLINE);
 	uint64_t ms = 0;
@@ -49,10 +49,10 @@
 	return ms ? (uint32_t)ms : 1;
 }
 
-static void set_times(lw_exchange_t *x, const lw_exchange_ask_t *ask, uint32_t timeout_ms)
+static void set_times(lw_exchange_t *x, const lw_exchange_request_t *req, uint32_t timeout_ms)
 {
-	uint64_t now = x->engine->hub->now_us;
-	uint32_t deadline = header_ms(ask->head);
+	uint64_t now = x->engine->evloop->now_us;
+	uint32_t deadline = read_deadline_ms(req->head);
 	uint32_t give_up;
 
 	if (!deadline)
@@ -62,21 +62,24 @@
 	x->target_us = now + (uint64_t)x->target_ms * 1000;
 	x->deadline_us = now + (uint64_t)deadline * 1000;
 	x->deadline_us -=
-		ask->late_us < (uint64_t)deadline * 1000 ? ask->late_us : (uint64_t)deadline * 1000;
+		req->late_us < (uint64_t)deadline * 1000 ? req->late_us : (uint64_t)deadline * 1000;
 	x->give_up_us = now + (uint64_t)give_up * 1000;
 	if (x->give_up_us > x->deadline_us)
 		x->give_up_us = x->deadline_us;
-	ev_timer_init(&x->timer, lw_exchange_timeout,
-		      (lw_exchange_left_ms(x, x->give_up_us) + TIMEOUT_SLACK_MS) / 1000.0, 0);
+	ev_timer_init(&x->timer, lw_exchange_on_timeout,
+		      (lw_exchange_remaining_ms(x, x->give_up_us) + TIMEOUT_MARGIN_MS) / 1000.0, 0);
 	x->timer.data = x;
-	ev_timer_start(x->engine->hub->loop, &x->timer);
+	ev_timer_start(x->engine->evloop->loop, &x->timer);
 }
 
-/* what is sent on: a key stays here, and which organisation holds it is said by this node alone */
+/*
+ * composes the head to forward; API keys are removed, and only this node states which organisation
+ * holds the key
+ */
 static void compose_head(lw_exchange_t *x, const lw_httphead_t *h)
 {
-	const lw_hub_t *hub = x->engine->hub;
-	const char *org_header = hub->names->header[LW_HEADER_ORGANISATION];
+	const lw_evloop_t *evloop = x->engine->evloop;
+	const char *org_header = evloop->names->header[LW_HEADER_ORGANISATION];
 
 	lw_httphead_forward(h, x->engine->conf->orgs != NULL, &x->head);
 	if (x->org[0])
@@ -85,16 +88,16 @@
 			       (lw_str_t){ lw_bytebuf_head(&x->head), lw_bytebuf_len(&x->head) },
 			       org_header);
 	lw_fingerprinter_body(&x->print, (lw_str_t){ NULL, 0 }, x->fin);
-	lw_bytebuf_printf(&x->head, "%s: %s\r\n", hub->names->header[LW_HEADER_CALLER],
-			  hub->set->service);
+	lw_bytebuf_printf(&x->head, "%s: %s\r\n", evloop->names->header[LW_HEADER_CALLER],
+			  evloop->set->service);
 }
 
 /*
- * A call made by the backend server on this host is part of a request that
- * runs there. Callers and the backend server share the host's address, so only
- * the id tells: backend servers build the id of a call from that of the
- * request it is for, a dot and more. A call whose request is not known, as
- * this process started after it, ranks by its route.
+ * Detects nested calls: calls that the backend server on this host makes for a request that it
+ * executes. Callers and the backend server share the host's address, so only the request id
+ * distinguishes them: backend servers build the id of a nested call from the parent's id, a dot
+ * and a suffix. If the parent is unknown, because this process started after it, the call is
+ * ranked by its route.
  */
 static void find_parent(lw_exchange_t *x, lw_gate_parent_t *parent)
 {
@@ -103,7 +106,7 @@
 	if (!dot)
 		return;
 	for (const char *p = x->request_id; *p; p++)
-		x->above += *p == '.';
+		x->call_depth += *p == '.';
 	x->parent_id = (lw_str_t){ x->request_id, (size_t)(dot - x->request_id) };
 	x->nested = true;
 	x->attempts.nested = true;
@@ -111,13 +114,13 @@
 		x->parent_id.len = 0;
 }
 
-static lw_identity_t unknown(const lw_engine_t *e)
+static lw_identity_t unknown_or_unsure(const lw_engine_t *e)
 {
-	return e->news_age_ms && e->news_age_ms(e->ctx) > KEYS_OLD_MS ? LW_IDENTITY_UNSURE :
-									LW_IDENTITY_UNKNOWN;
+	return e->news_age_ms && e->news_age_ms(e->ctx) > KEYS_STALE_MS ? LW_IDENTITY_UNSURE :
+									  LW_IDENTITY_UNKNOWN;
 }
 
-/* who sent the request; @org: NULL for calls of running requests and open routes */
+/* identifies the sender; @org: NULL for nested calls of known requests and for open routes */
 static lw_identity_t identify(const lw_exchange_t *x, const lw_httphead_t *h,
 			      const lw_fleet_route_t *r, const lw_organisation_t **org)
 {
@@ -127,21 +130,21 @@
 	*org = NULL;
 	if (!e->conf->orgs || r->open)
 		return LW_IDENTITY_KNOWN;
-	switch (lw_credential_read(h, e->hub->names->credential_scheme, &key)) {
-	case LW_CREDENTIAL_TWICE:
+	switch (lw_credential_read(h, e->evloop->names->credential_scheme, &key)) {
+	case LW_CREDENTIAL_DUPLICATE:
 		return LW_IDENTITY_AMBIGUOUS;
 	case LW_CREDENTIAL_KEY:
 		*org = lw_orgs_by_key(e->conf->orgs, key);
-		return *org ? LW_IDENTITY_KNOWN : unknown(e);
+		return *org ? LW_IDENTITY_KNOWN : unknown_or_unsure(e);
 	case LW_CREDENTIAL_NONE:
-		return x->parent_id.len ? LW_IDENTITY_KNOWN : unknown(e);
+		return x->parent_id.len ? LW_IDENTITY_KNOWN : unknown_or_unsure(e);
 	default:
 		return LW_IDENTITY_UNKNOWN;
 	}
 }
 
-/* the terms of the route in force now */
-static void apply_route(lw_exchange_t *x, const lw_exchange_ask_t *ask, lw_fleet_route_t *r,
+/* applies the terms of the route in the current configuration */
+static void apply_route(lw_exchange_t *x, const lw_exchange_request_t *req, lw_fleet_route_t *r,
 			const lw_organisation_t *org)
 {
 	lw_engine_t *e = x->engine;
@@ -159,19 +162,20 @@
 		lw_str_copy(x->org, sizeof(x->org), lw_str_c(org->name));
 		x->org_id = org->id;
 	}
-	set_times(x, ask, r->timeout_ms);
+	set_times(x, req, r->timeout_ms);
 }
 
-/* answered before it has a route and terms: nothing of it is kept */
-static void turn_away(lw_exchange_t *x, uint32_t status, const char *why, uint32_t retry_after_ms)
+/* answers a request that has no route or terms yet */
+static void reject_early(lw_exchange_t *x, uint32_t status, const char *why,
+			 uint32_t retry_after_ms)
 {
 	lw_reply_t *reply = x->reply;
 
 	lw_exchange_release(x);
-	reply->ops->own(reply, status, why, retry_after_ms);
+	reply->ops->local_answer(reply, status, why, retry_after_ms);
 }
 
-static void turn_away_unknown(lw_exchange_t *x, lw_identity_t who, const lw_fleet_route_t *r)
+static void reject_unidentified(lw_exchange_t *x, lw_identity_t who, const lw_fleet_route_t *r)
 {
 	lw_engine_t *e = x->engine;
 	uint32_t news_ms = e->news_age_ms ? e->news_age_ms(e->ctx) : 0;
@@ -183,52 +187,52 @@
 	       who == LW_IDENTITY_UNSURE    ? "keys_old" :
 					      "unknown_key");
 	if (who == LW_IDENTITY_AMBIGUOUS)
-		turn_away(x, 400, "two_keys", 0);
+		reject_early(x, 400, "two_keys", 0);
 	else if (who == LW_IDENTITY_UNSURE)
-		turn_away(x, 503, "keys_old", LW_COMEBACK_DEFAULT_MS);
+		reject_early(x, 503, "keys_old", LW_RETRY_AFTER_DEFAULT_MS);
 	else
-		turn_away(x, 401, "unknown_key", 0);
+		reject_early(x, 401, "unknown_key", 0);
 }
 
-/* false: a service that the request leads to could not finish it, and it was refused */
+/* returns false if the request was refused, as a service on its call path is overloaded */
 static bool path_admits(lw_exchange_t *x)
 {
 	lw_engine_t *e = x->engine;
-	lw_hot_t hot;
+	lw_service_level_t hot;
 
-	x->rank = lw_hotpath_weighed(e->hotpath, x->route, x->rank, e->hub->now_us);
-	if (lw_hotpath_admits(e->hotpath, x->route, x->rank, e->hub->now_us, &hot))
+	x->rank = lw_overload_weighted_rank(e->overload, x->route, x->rank, e->evloop->now_us);
+	if (lw_overload_admits(e->overload, x->route, x->rank, e->evloop->now_us, &hot))
 		return true;
 	lw_log(LW_LOG_path_busy, "id=%s route=%s rank=%u by=%s level=%u", x->request_id, x->route,
 	       x->rank, hot.service, hot.level);
-	x->limited = lw_place_limited(&e->place, hot.service, e->hub->now_us);
+	x->rate_limited = lw_place_has_rate_limit(&e->place, hot.service, e->evloop->now_us);
 	lw_exchange_refuse(x, LW_FAIL_PATH_BUSY);
 	return false;
 }
 
-/* false: its organisation is at its limit, and it was refused */
+/* returns false if the request was refused, as its organisation is at its rate limit */
 static bool limit_admits(lw_exchange_t *x, const lw_organisation_t *org)
 {
 	lw_engine_t *e = x->engine;
-	lw_quota_verdict_t v;
+	lw_quota_decision_t v;
 
-	lw_quota_take(e->quota, org, e->hub->now_us, &v);
-	x->counted = v.admitted;
+	lw_quota_admit(e->quota, org, e->evloop->now_us, &v);
+	x->quota_counted = v.admitted;
 	if (v.admitted)
 		return true;
 	lw_log(LW_LOG_over_limit,
 	       "id=%s route=%s org=%s rate=%.0f admit_permille=%u alone=%d news_ms=%u",
-	       x->request_id, x->route, x->org, org->rate_per_s, v.admit_permille, v.alone,
-	       v.news_ms);
-	x->room_ms = v.room_ms;
+	       x->request_id, x->route, x->org, org->rate_per_s, v.admit_permille, v.standalone,
+	       v.grant_age_ms);
+	x->min_retry_after_ms = v.room_ms;
 	lw_exchange_refuse(x, LW_FAIL_OVER_LIMIT);
 	return false;
 }
 
-/* false: the request was refused */
-static bool may_begin(lw_exchange_t *x, const lw_organisation_t *org)
+/* returns false if the request was refused */
+static bool admit(lw_exchange_t *x, const lw_organisation_t *org)
 {
-	if (x->engine->hub->callers_refused && !x->parent_id.len) {
+	if (x->engine->evloop->callers_refused && !x->parent_id.len) {
 		lw_exchange_refuse(x, LW_FAIL_LEAVING);
 		return false;
 	}
@@ -237,9 +241,9 @@
 	return path_admits(x) && (!org || limit_admits(x, org));
 }
 
-/* false: it has no route, or nobody known sent it, and it was answered */
-static bool settle_terms(lw_exchange_t *x, const lw_exchange_ask_t *ask,
-			 const lw_organisation_t **org)
+/* returns false if the request was answered, as it has no route or its sender was not identified */
+static bool resolve_route(lw_exchange_t *x, const lw_exchange_request_t *req,
+			  const lw_organisation_t **org)
 {
 	lw_engine_t *e = x->engine;
 	lw_gate_parent_t parent = { 0 };
@@ -248,22 +252,22 @@
 
 	if (!e->conf) {
 		e->stats.no_config++;
-		turn_away(x, 503, "starting", LW_COMEBACK_DEFAULT_MS);
+		reject_early(x, 503, "starting", LW_RETRY_AFTER_DEFAULT_MS);
 		return false;
 	}
-	r = lw_fleetconf_match(e->conf, ask->head->host, ask->head->target);
+	r = lw_fleetconf_match(e->conf, req->head->host, req->head->target);
 	if (!r || !r->nsplits) {
 		e->stats.no_route++;
-		turn_away(x, 404, "no_route", 0);
+		reject_early(x, 404, "no_route", 0);
 		return false;
 	}
 	find_parent(x, &parent);
-	who = identify(x, ask->head, r, org);
+	who = identify(x, req->head, r, org);
 	if (who != LW_IDENTITY_KNOWN) {
-		turn_away_unknown(x, who, r);
+		reject_unidentified(x, who, r);
 		return false;
 	}
-	apply_route(x, ask, r, *org);
+	apply_route(x, req, r, *org);
 	e->stats.nested += x->nested;
 	if (x->parent_id.len) {
 		x->rank = parent.rank;
@@ -274,11 +278,12 @@
 }
 
 /*
- * lw_exchange_start() - take up a request. Call lw_exchange_send() when what
- * has arrived of its body is given, to find it a server. Returns NULL if the
- * request has been answered already.
+ * lw_exchange_start() - accept a request. The caller of this function adds the part of the body
+ * that has arrived and then calls lw_exchange_send(). Returns NULL if the request has already been
+ * answered.
  */
-lw_exchange_t *lw_exchange_start(lw_engine_t *e, lw_reply_t *reply, const lw_exchange_ask_t *ask)
+lw_exchange_t *lw_exchange_start(lw_engine_t *e, lw_reply_t *reply,
+				 const lw_exchange_request_t *req)
 {
 	lw_exchange_t *x = xcalloc(1, sizeof(*x));
 	const lw_organisation_t *org;
@@ -286,20 +291,20 @@
 	x->sink.ops = &lw_exchange_sink_ops;
 	x->engine = e;
 	x->reply = reply;
-	x->body_length = ask->body_length;
-	x->fin = ask->body_length == 0;
-	x->request_id = lw_str_dup(lw_httphead_find(ask->head, LW_HEADER_REQUEST_ID));
-	ev_timer_init(&x->timer, lw_exchange_timeout, 0, 0);
-	ev_timer_init(&x->hold, lw_exchange_hold_over, 0, 0);
-	ev_timer_init(&x->stall, lw_exchange_stalled, 0, 0);
+	x->body_length = req->body_length;
+	x->fin = req->body_length == 0;
+	x->request_id = lw_str_dup(lw_httphead_find(req->head, LW_HEADER_REQUEST_ID));
+	ev_timer_init(&x->timer, lw_exchange_on_timeout, 0, 0);
+	ev_timer_init(&x->hold, lw_exchange_on_hold_timer, 0, 0);
+	ev_timer_init(&x->stall, lw_exchange_on_stall_timer, 0, 0);
 	e->active++;
 	DL_APPEND(e->exchanges, x);
 	e->stats.requests++;
-	if (!settle_terms(x, ask, &org) || !may_begin(x, org))
+	if (!resolve_route(x, req, &org) || !admit(x, org))
 		return NULL;
-	compose_head(x, ask->head);
-	lw_retrylimit_request(&x->service->retries, &e->place.terms, e->hub->now_us);
+	compose_head(x, req->head);
+	lw_retrylimit_count_request(&x->service->retries, &e->place.terms, e->evloop->now_us);
 	if (x->repeat)
-		lw_retrylimit_repeat(&x->service->retries, &e->place.terms, e->hub->now_us);
+		lw_retrylimit_count_retry(&x->service->retries, &e->place.terms, e->evloop->now_us);
 	return x;
 }
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -1,34 +1,34 @@
-/* One request of a caller; see exchange.h. */
+/* Life cycle and final answers of a caller's request; see exchange.h. */
 #include "exchange_int.h"
 
 #include <stdlib.h>
 #include <string.h>
 #include <utlist.h>
 
-#include "comeback.h"
+#include "retryafter.h"
 #include "log.h"
 #include "xalloc.h"
 
-/* lw_engine_oldest_us() - age of the oldest request under way, at least 1; 0: there is none. */
+/* lw_engine_oldest_us() - age of the oldest request in progress, at least 1; 0: there is none. */
 uint64_t lw_engine_oldest_us(const lw_engine_t *e)
 {
 	const lw_exchange_t *x = e->exchanges;
 
-	/* one that is just being taken up has no time yet */
-	return x ? e->hub->now_us - (x->started_us ? x->started_us : e->hub->now_us) + 1 : 0;
+	/* a request that is just being accepted has no start time yet */
+	return x ? e->evloop->now_us - (x->started_us ? x->started_us : e->evloop->now_us) + 1 : 0;
 }
 
-/* lw_exchange_left_ms() - milliseconds until @until_us, 0 if it has passed. */
-uint32_t lw_exchange_left_ms(const lw_exchange_t *x, uint64_t until_us)
+/* lw_exchange_remaining_ms() - milliseconds until @until_us; 0 if it has passed. */
+uint32_t lw_exchange_remaining_ms(const lw_exchange_t *x, uint64_t until_us)
 {
-	uint64_t now = x->engine->hub->now_us;
+	uint64_t now = x->engine->evloop->now_us;
 
 	return until_us > now ? (uint32_t)((until_us - now) / 1000) : 0;
 }
 
 /*
- * lw_exchange_release() - the request is over for its caller; freed when this
- * turn of the loop ends.
+ * lw_exchange_release() - the request is finished for its caller; freed at the end of this loop
+ * iteration.
  */
 void lw_exchange_release(lw_exchange_t *x)
 {
@@ -39,57 +39,61 @@
 	x->dead = true;
 	if (x->started_us)
 		lw_histogram_add(x->nested ? &stats->latency_nested : &stats->latency_user,
-				 x->engine->hub->now_us - x->started_us);
+				 x->engine->evloop->now_us - x->started_us);
 	x->reply = NULL;
-	ev_timer_stop(x->engine->hub->loop, &x->timer);
-	ev_timer_stop(x->engine->hub->loop, &x->hold);
+	ev_timer_stop(x->engine->evloop->loop, &x->timer);
+	ev_timer_stop(x->engine->evloop->loop, &x->hold);
 	x->engine->active--;
 	DL_DELETE(x->engine->exchanges, x);
 	lw_bytebuf_free(&x->head);
 	lw_bytebuf_free(&x->body);
 	free(x->request_id);
 	x->request_id = NULL;
-	lw_hub_free_later(x->engine->hub, x);
+	lw_evloop_free_later(x->engine->evloop, x);
 }
 
-/* lw_exchange_count() - the request has ended so, by its route. */
+/* lw_exchange_count() - count the outcome of the request for its route. */
 void lw_exchange_count(const lw_exchange_t *x, lw_route_outcome_t outcome)
 {
 	if (x->stat)
 		lw_routestat_count(x->stat, x->nested, outcome);
 }
 
-/* lw_exchange_attempt_ended() - the lw_exchange_attempt under way has an outcome */
-void lw_exchange_attempt_ended(lw_exchange_t *x, bool ok)
+/* lw_exchange_attempt_done() - the attempt in progress has an outcome. */
+void lw_exchange_attempt_done(lw_exchange_t *x, bool ok)
 {
 	x->call = NULL;
-	ev_timer_stop(x->engine->hub->loop, &x->stall);
+	ev_timer_stop(x->engine->evloop->loop, &x->stall);
 	if (x->host) {
-		lw_str_copy(x->last, sizeof(x->last), lw_str_c(x->host->id));
-		lw_place_ended(x->host, ok, x->engine->hub->now_us);
+		lw_str_copy(x->last_server, sizeof(x->last_server), lw_str_c(x->host->id));
+		lw_place_request_done(x->host, ok, x->engine->evloop->now_us);
 	}
 	x->host = NULL;
 }
 
-/* lw_exchange_abandon_call() - cancel the attempt under way, if there is one. */
+/* lw_exchange_abandon_call() - cancel the attempt in progress, if any. */
 void lw_exchange_abandon_call(lw_exchange_t *x)
 {
 	lw_call_t *call = x->call;
 
 	if (!call)
 		return;
-	lw_exchange_attempt_ended(x, false);
+	lw_exchange_attempt_done(x, false);
 	call->ops->cancel(call);
 }
 
-/* lw_exchange_tell_parent() - the request this call was made for will fail with it, wherever it runs */
-void lw_exchange_tell_parent(const lw_exchange_t *x)
+/*
+ * lw_exchange_mark_parent_failed() - record that a nested call of the parent request failed. The
+ * parent will fail on any server, so it is not retried.
+ */
+void lw_exchange_mark_parent_failed(const lw_exchange_t *x)
 {
 	if (x->parent_id.len)
 		lw_gate_note_failure(&x->engine->gate, x->parent_id);
 }
 
-static void answer_own(lw_exchange_t *x, uint32_t status, lw_fail_t why, uint32_t retry_after_ms)
+static void answer_locally(lw_exchange_t *x, uint32_t status, lw_fail_t why,
+			   uint32_t retry_after_ms)
 {
 	lw_reply_t *reply = x->reply;
 
@@ -98,38 +102,40 @@
 	       x->request_id, x->route, x->org[0] ? x->org : "none", x->service->name,
 	       (unsigned long long)x->engine->conf->version, x->rank, status, lw_fail_name(why),
 	       x->attempts.given, x->attempts.handed_back, x->attempts.maybe_ran,
-	       (uint32_t)((x->engine->hub->now_us - x->started_us) / 1000), retry_after_ms,
-	       x->last[0] ? x->last : "none", x->limited, (unsigned long long)x->print.value.whole);
-	lw_exchange_tell_parent(x);
+	       (uint32_t)((x->engine->evloop->now_us - x->started_us) / 1000), retry_after_ms,
+	       x->last_server[0] ? x->last_server : "none", x->rate_limited,
+	       (unsigned long long)x->print.value.whole);
+	lw_exchange_mark_parent_failed(x);
 	lw_exchange_release(x);
 	if (reply)
-		reply->ops->own(reply, status, lw_fail_name(why), retry_after_ms);
+		reply->ops->local_answer(reply, status, lw_fail_name(why), retry_after_ms);
 }
 
-/* lw_exchange_refuse() - the request has not run and will not: the caller is told when to come back. */
+/*
+ * lw_exchange_refuse() - answer that the request was not and will not be executed, with the delay
+ * before a retry.
+ */
 void lw_exchange_refuse(lw_exchange_t *x, lw_fail_t why)
 {
-	uint32_t room = x->room_ms ? x->room_ms : LW_COMEBACK_DEFAULT_MS;
-	uint32_t ms = lw_comeback_ms(room, x->priority, lw_exchange_left_ms(x, x->deadline_us),
-				     lw_hub_random(x->engine->hub, UINT32_MAX));
+	uint32_t room = x->min_retry_after_ms ? x->min_retry_after_ms : LW_RETRY_AFTER_DEFAULT_MS;
+	uint32_t ms =
+		lw_retry_after_ms(room, x->priority, lw_exchange_remaining_ms(x, x->deadline_us),
+				  lw_evloop_random(x->engine->evloop, UINT32_MAX));
 
-	/* all that held it are certain to refuse it until then */
+	/* every node that quarantines the request rejects it until then */
 	if (why == LW_FAIL_HELD) {
 		x->engine->stats.held++;
 		ms = room;
 	}
-	if (x->counted)
-		lw_quota_refund(x->engine->quota, x->org_id, x->engine->hub->now_us);
+	if (x->quota_counted)
+		lw_quota_refund(x->engine->quota, x->org_id, x->engine->evloop->now_us);
 	x->engine->stats.refused++;
 	x->engine->stats.over_limit += why == LW_FAIL_OVER_LIMIT;
 	lw_exchange_count(x, LW_ROUTE_REFUSED);
-	answer_own(x, why == LW_FAIL_OVER_LIMIT ? 429 : 503, why, ms);
+	answer_locally(x, why == LW_FAIL_OVER_LIMIT ? 429 : 503, why, ms);
 }
 
-/*
- * lw_exchange_answer_verdict() - give the caller the answer that @v stands
- * for; @why goes to the log.
- */
+/* lw_exchange_answer_verdict() - answer the caller according to @v; @why is logged. */
 void lw_exchange_answer_verdict(lw_exchange_t *x, lw_verdict_t v, lw_fail_t why)
 {
 	switch (v) {
@@ -139,17 +145,17 @@
 	case LW_VERDICT_TIMEOUT:
 		x->engine->stats.timeouts++;
 		lw_exchange_count(x, LW_ROUTE_TIMEOUT);
-		answer_own(x, 504, why, 0);
+		answer_locally(x, 504, why, 0);
 		break;
 	default:
 		x->engine->stats.failed++;
 		lw_exchange_count(x, LW_ROUTE_FAILED);
-		answer_own(x, 502, why, 0);
+		answer_locally(x, 502, why, 0);
 		break;
 	}
 }
 
-/* the process leaves: the caller is told what is known of the request */
+/* the process exits: the caller is told whether the request may have been executed */
 static void end_for_exit(lw_exchange_t *x)
 {
 	x->attempts.maybe_ran |= x->call != NULL;
@@ -157,22 +163,22 @@
 	if (x->answering)
 		lw_exchange_after_failure(x, LW_FAIL_LEAVING);
 	else
-		lw_exchange_answer_verdict(x, lw_retry_final(&x->attempts, LW_FAIL_LEAVING),
+		lw_exchange_answer_verdict(x, lw_retry_final_verdict(&x->attempts, LW_FAIL_LEAVING),
 					   LW_FAIL_LEAVING);
 }
 
-/* lw_engine_end_all() - answer every request that is still under way, before the process exits. */
-void lw_engine_end_all(lw_engine_t *e)
+/* lw_engine_finish_all() - answer every request in progress before the process exits. */
+void lw_engine_finish_all(lw_engine_t *e)
 {
 	while (e->exchanges)
 		end_for_exit(e->exchanges);
 }
 
-/* lw_exchange_timeout() - timer: the caller waits no longer, or the route's timeout is over. */
-void lw_exchange_timeout(struct ev_loop *loop, ev_timer *w, int revents)
+/* lw_exchange_on_timeout() - timer: the caller's deadline or the route's timeout has passed. */
+void lw_exchange_on_timeout(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_exchange_t *x = w->data;
-	bool under_way = x->call != NULL;
+	bool in_progress = x->call != NULL;
 
 	(void)loop;
 	(void)revents;
@@ -181,17 +187,20 @@
 		lw_exchange_after_failure(x, LW_FAIL_TIMEOUT);
 		return;
 	}
-	x->attempts.maybe_ran |= under_way;
+	x->attempts.maybe_ran |= in_progress;
 	lw_exchange_answer_verdict(x, LW_VERDICT_TIMEOUT, LW_FAIL_TIMEOUT);
 }
 
-/* lw_exchange_full() - the caller's body is ahead of the server: read no more. */
-bool lw_exchange_full(const lw_exchange_t *x)
+/*
+ * lw_exchange_body_full() - whether the buffered request body is large enough to stop reading from
+ * the caller.
+ */
+bool lw_exchange_body_full(const lw_exchange_t *x)
 {
-	return lw_bytebuf_len(&x->body) >= 2 * BODY_KEPT_BYTES;
+	return lw_bytebuf_len(&x->body) >= 2 * BODY_RETAINED_BYTES;
 }
 
-/* lw_exchange_body() - more of the request's body; @fin: that was all. */
+/* lw_exchange_body() - add @data to the request body; @fin: the body is complete. */
 void lw_exchange_body(lw_exchange_t *x, lw_str_t data, bool fin)
 {
 	if (x->dead)
@@ -204,17 +213,17 @@
 		lw_exchange_attempt(x, LW_FAIL_NO_SERVER);
 		return;
 	}
-	lw_exchange_feed(x);
+	lw_exchange_send_body(x);
 }
 
-/* lw_exchange_taken() - the caller took @bytes of the answer's body. */
-void lw_exchange_taken(lw_exchange_t *x, uint32_t bytes)
+/* lw_exchange_credit() - the caller consumed @bytes of the answer's body. */
+void lw_exchange_credit(lw_exchange_t *x, uint32_t bytes)
 {
 	if (!x->dead && x->call)
 		x->call->ops->credit(x->call, bytes);
 }
 
-/* lw_exchange_cancel() - the caller is gone: stop the work. */
+/* lw_exchange_cancel() - the caller disconnected: cancel the request. */
 void lw_exchange_cancel(lw_exchange_t *x)
 {
 	if (x->dead)
@@ -225,13 +234,13 @@
 	lw_exchange_release(x);
 }
 
-/* lw_exchange_send() - find the request a server. */
+/* lw_exchange_send() - send the request to a server, once it is known whether it is quarantined. */
 void lw_exchange_send(lw_exchange_t *x)
 {
 	if (x->dead)
 		return;
 	x->awaits_body = !x->print.known &&
-			 lw_quarantine_awaits_body(x->engine->quarantine, x->print.value.head);
+			 lw_quarantine_needs_body(x->engine->quarantine, x->print.value.head);
 	if (!x->awaits_body)
 		lw_exchange_attempt(x, LW_FAIL_NO_SERVER);
 }
--- /dev/null
+++ b/src/fanout.h
@@ -0,0 +1,59 @@
+/*
+ * How store updates reach every node: which nodes read the store, and to
+ * which nodes each node forwards updates. With hundreds of nodes the links of
+ * the readers and the request rate of the store are too small to serve all of
+ * them directly. Every node computes the same plan from the list of backend
+ * servers. No I/O.
+ *
+ * In each availability zone the nodes, ordered by a hash of their addresses,
+ * form two trees: one starts at the first node, the other at the last node,
+ * so that hardly any node forwards updates in both. The first nodes of the
+ * zones form a tree below the readers as well, and so do the last ones.
+ */
+#ifndef LW_FANOUT_H
+#define LW_FANOUT_H
+
+#include <stdbool.h>
+#include <stdint.h>
+
+#include "fleetconf.h"
+
+/* Nodes that read the store for all, in different zones if possible. */
+#define LW_FANOUT_READERS 2
+/* Nodes that replace the readers when these are silent. */
+#define LW_FANOUT_SUBSTITUTES 2
+/* Most children of a node in one tree. */
+#define LW_FANOUT_DEGREE 6
+/* A node can be a reader, and an inner node of two trees in its zone and of two between zones. */
+#define LW_FANOUT_CHILDREN_MAX (6 * LW_FANOUT_DEGREE)
+
+/* The role of one node. */
+typedef struct lw_fanout {
+	uint32_t rank; /* among all nodes: readers come first, then substitutes */
+	uint32_t read_after_ms; /* age of the last update at which the node reads the store */
+	char child[LW_FANOUT_CHILDREN_MAX][LW_NAME_MAX]; /* addresses of backend servers */
+	size_t nchildren;
+} lw_fanout_t;
+
+/*
+ * Age at which an update is stale: readers send every 0.7 s, and one message
+ * may be late by half of that. In milliseconds.
+ */
+#define LW_FANOUT_STALE_MS 1050
+/* age after which a few other nodes are asked for a newer update, ms */
+#define LW_FANOUT_ASK_MS 850
+/* number of nodes that are asked */
+#define LW_FANOUT_ASK_NODES 3
+/* nodes other than the substitutes wait this much longer before they read the store, ms */
+#define LW_FANOUT_SUBSTITUTES_MS 200
+/* and distribute their reads over this time, ms */
+#define LW_FANOUT_STAGGER_MS 300
+/* rank of a node that is neither reader nor substitute */
+#define LW_FANOUT_NO_RANK UINT32_MAX
+
+void lw_fanout_plan(const lw_serverlist_t *sl, const char *backend, const char *zone,
+		    lw_fanout_t *out);
+bool lw_fanout_is_reader(const lw_fanout_t *s);
+bool lw_fanout_is_reader_or_substitute(const lw_fanout_t *s);
+
+#endif
--- a/src/gate.c
+++ b/src/gate.c
@@ -1,4 +1,4 @@
-/* Admission to the backend server on this host; see gate.h. */
+/* Admission of requests to the backend server on this host; see gate.h. */
 #include "gate_int.h"
 
 #include <math.h>
@@ -8,44 +8,44 @@
 #include "log.h"
 #include "stopplan.h"
 
-/* what a body of a request still queued may hold in memory, in bytes */
+/* limit on the memory used by the bodies of queued requests, in bytes */
 #define QUEUE_BYTES_MAX (32u * 1024 * 1024)
-/* waiting requests are looked through for expired ones so often, in seconds */
-#define EXPIRY_STEP_S 0.02
-/* first guess of that time, before any request has run, us */
-#define SERVICE_FIRST_US 50000
-/* a request that runs so many times as long as usual may have lost its answer */
-#define LOST_FACTOR   8
-#define LOST_LEAST_US 100000
-/* the average of failures fades by this in each step: it halves in about 3 s */
-#define FAILING_FADES 0.977
-/* the longest run of late counts half after this, us */
-#define LONGEST_HALVES_US 7000000
-/* a server that took no connection is tried again after this, us */
-#define DOWN_US 250000
-/* steps without work after which the level's timer stops */
-#define QUIET_STEPS 20
-/* a limit below this counts as this one in the level, requests a second */
-#define LEVEL_LEAST_PER_S 0.1
-#define JOB_OF_WAITER(w)  ((lw_job_t *)(void *)((char *)(w)-offsetof(lw_job_t, waiter)))
+/* interval of the check for expired requests in the queue, in seconds */
+#define EXPIRY_INTERVAL_S 0.02
+/* assumed execution time before any request was executed, us */
+#define SERVICE_INITIAL_US 50000
+/* a request that executes for this many times the average may have lost its answer */
+#define LOST_FACTOR 8
+#define LOST_MIN_US 100000
+/* factor applied to the average failure rate in each step: it halves in about 3 s */
+#define FAILING_DECAY 0.977
+/* half-life of the longest recent execution time, us */
+#define LONGEST_HALF_LIFE_US 7000000
+/* a server that accepted no connection is retried after this, us */
+#define DOWN_RETRY_US 250000
+/* number of idle steps after which the timer of the admission level stops */
+#define IDLE_STEPS_MAX 20
+/* lowest rate limit used to compute the admission level, requests a second */
+#define LEVEL_MIN_PER_S	 0.1
+#define JOB_OF_WAITER(w) ((lw_job_t *)(void *)((char *)(w)-offsetof(lw_job_t, waiter)))
 
 /* slots of the backend server that are in use */
-static uint32_t occupied(const lw_gate_t *g)
+static uint32_t busy_slots(const lw_gate_t *g)
 {
-	return g->running > g->lost ? g->running - g->lost : 0;
+	return g->running > g->lost_answers ? g->running - g->lost_answers : 0;
 }
 
-/* what is known of the backend server here */
-static void own_load(const lw_gate_t *g, lw_load_t *out)
+/* what this node knows about the backend server */
+static void server_load(const lw_gate_t *g, lw_load_t *out)
 {
-	out->running = occupied(g);
+	out->running = busy_slots(g);
 	out->level = g->level.level;
 	out->failing = (uint32_t)(g->failing * 1000);
 	out->queued = (uint32_t)g->queue.len;
-	out->limit = g->refusing ? 0 : g->limit;
+	out->limit = g->exiting ? 0 : g->limit;
 	out->service_us = (uint32_t)g->service_us;
-	out->leaving = lw_gate_leaving(g) || g->refusing || g->hub->peers_told;
-	out->down = g->hub->now_us < g->down_until_us;
+	out->leaving = lw_gate_leaving(g) || g->exiting || g->evloop->peers_notified;
+	out->down = g->evloop->now_us < g->down_until_us;
 	out->call_failed = false;
 	out->ran_us = 0;
 	out->depth = 0;
@@ -55,20 +55,23 @@
 }
 
 /*
- * lw_gate_load() - what others are told of the backend server. One that takes only so
- * many requests a second has no more slots for them than these keep busy: by its own
- * slots it would look idle, and be sent what has to come back.
+ * lw_gate_load() - the load that is reported to other nodes. A backend server with a rate limit
+ * gets no more slots in the report than the limit can keep busy. With its real number of slots it
+ * would look idle and attract requests that it has to reject.
  */
 void lw_gate_load(const lw_gate_t *g, lw_load_t *out)
 {
-	uint32_t slots = lw_pace_slots(&g->pace, g->service_us);
+	uint32_t slots = lw_ratelimit_slots(&g->ratelimit, g->service_us);
 
-	own_load(g, out);
+	server_load(g, out);
 	if (out->limit > slots)
 		out->limit = slots;
 }
 
-/* lw_gate_learn_load() - the backend server's own figures; what it runs beside our requests counts too */
+/*
+ * lw_gate_learn_load() - process the load that the backend server reports in its answers. The
+ * report also covers requests that did not pass through this gate.
+ */
 void lw_gate_learn_load(lw_gate_t *g, lw_str_t value)
 {
 	char text[64];
@@ -84,67 +87,67 @@
 		g->slots = slots;
 		g->limit = lw_admit_limit(slots);
 	}
-	g->tells_load = true;
-	g->told_busy = running + waiting;
-	g->since_told = 0;
+	g->reports_load = true;
+	g->reported_busy = running + waiting;
+	g->started_since_report = 0;
 }
 
 /*
- * A backend server that loses answers has room although its requests seem to
- * run: each would hold a slot here until its deadline, and with three answers
- * in ten lost nine slots in ten were held so. A request counts as lost when
- * it takes far longer than usual and the server says that it runs fewer.
+ * A backend server that loses answers has free slots although its requests seem to be executing.
+ * Each lost answer would occupy a slot here until the deadline of its request; with three answers
+ * in ten lost, nine slots in ten were blocked that way. A request counts as lost if it takes much
+ * longer than usual and the server reports fewer requests than this gate has sent.
  */
-static void count_lost(lw_gate_t *g)
+static void update_lost_answers(lw_gate_t *g)
 {
 	uint64_t limit_us = (uint64_t)(g->service_us * LOST_FACTOR);
-	uint32_t known = g->told_busy + g->since_told;
+	uint32_t known = g->reported_busy + g->started_since_report;
 	uint32_t overdue = 0;
 
-	if (limit_us < LOST_LEAST_US)
-		limit_us = LOST_LEAST_US;
-	g->lost = 0;
-	if (!g->tells_load || g->running <= known)
+	if (limit_us < LOST_MIN_US)
+		limit_us = LOST_MIN_US;
+	g->lost_answers = 0;
+	if (!g->reports_load || g->running <= known)
 		return;
 	for (const lw_job_t *j = g->by_id; j; j = j->hh.next)
-		overdue += j->started_us && g->hub->now_us - j->started_us > limit_us;
-	g->lost = overdue < g->running - known ? overdue : g->running - known;
+		overdue += j->started_us && g->evloop->now_us - j->started_us > limit_us;
+	g->lost_answers = overdue < g->running - known ? overdue : g->running - known;
 }
 
-/* the longest run of late; it fades with time, also while nothing runs */
+/* longest recent execution time; it decays with time, also while nothing executes */
 static double longest_run_us(const lw_gate_t *g)
 {
 	return g->longest_us *
-	       exp2(-(double)(g->hub->now_us - g->longest_at_us) / LONGEST_HALVES_US);
+	       exp2(-(double)(g->evloop->now_us - g->longest_at_us) / LONGEST_HALF_LIFE_US);
 }
 
-/* lw_gate_ran() - a run took @took_us. */
-void lw_gate_ran(lw_gate_t *g, uint64_t took_us)
+/* lw_gate_record_duration() - record the execution time @took_us of a request. */
+void lw_gate_record_duration(lw_gate_t *g, uint64_t took_us)
 {
 	if ((double)took_us < longest_run_us(g))
 		return;
 	g->longest_us = (double)took_us;
-	g->longest_at_us = g->hub->now_us;
+	g->longest_at_us = g->evloop->now_us;
 }
 
-/* whether a request that starts after @wait_us is over before this process exits */
-static bool ends_in_time(const lw_gate_t *g, uint64_t wait_us, uint64_t deadline_us)
+/* whether a request that starts after @wait_us completes before this process exits */
+static bool finishes_before_exit(const lw_gate_t *g, uint64_t wait_us, uint64_t deadline_us)
 {
-	const lw_hub_t *hub = g->hub;
-	uint64_t left_us = hub->exit_us > hub->now_us ? hub->exit_us - hub->now_us : 0;
+	const lw_evloop_t *evloop = g->evloop;
+	uint64_t left_us = evloop->exit_us > evloop->now_us ? evloop->exit_us - evloop->now_us : 0;
 
-	return !hub->exit_us ||
-	       lw_stopplan_takes(left_us, wait_us, (uint64_t)longest_run_us(g), deadline_us);
+	return !evloop->exit_us ||
+	       lw_stopplan_accepts(left_us, wait_us, (uint64_t)longest_run_us(g), deadline_us);
 }
 
-/* what waits, once its turn has come: started, or handed back as it would meet the exit */
-static void start_next(lw_gate_t *g)
+/* starts the first queued request, or rejects it if it would not complete before the exit */
+static void start_first_queued(lw_gate_t *g)
 {
 	lw_job_t *j = JOB_OF_WAITER(g->queue.first);
-	uint64_t now_us = g->hub->now_us;
+	uint64_t now_us = g->evloop->now_us;
 	uint64_t left_us = j->deadline_us > now_us ? j->deadline_us - now_us : 0;
 
-	if (!ends_in_time(g, 0, left_us)) {
+	if (!finishes_before_exit(g, 0, left_us)) {
 		lw_job_fail(j, LW_FAIL_LEAVING);
 		return;
 	}
@@ -153,60 +156,63 @@
 	lw_job_start(j);
 }
 
-/* lw_gate_dispatch() - start what may start now */
+/* lw_gate_dispatch() - start the queued requests for which there is room. */
 void lw_gate_dispatch(lw_gate_t *g)
 {
-	while (g->queue.first && occupied(g) < g->limit && lw_pace_ready(&g->pace, g->hub->now_us))
-		start_next(g);
+	while (g->queue.first && busy_slots(g) < g->limit &&
+	       lw_ratelimit_ready(&g->ratelimit, g->evloop->now_us))
+		start_first_queued(g);
 	if (!g->queue.first)
-		ev_timer_stop(g->hub->loop, &g->expiry);
+		ev_timer_stop(g->evloop->loop, &g->expiry_timer);
 }
 
-static void on_expiry(struct ev_loop *loop, ev_timer *w, int revents)
+static void on_expiry_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_gate_t *g = w->data;
 	lw_waiter_t *x;
 
 	(void)loop;
 	(void)revents;
-	while ((x = lw_waitq_expired(&g->queue, g->hub->now_us)) != NULL)
+	while ((x = lw_waitq_expired(&g->queue, g->evloop->now_us)) != NULL)
 		lw_job_fail(JOB_OF_WAITER(x), LW_FAIL_EXPIRED);
 	lw_gate_dispatch(g);
 }
 
-static lw_fail_t refusal(const lw_gate_t *g, const lw_admit_state_t *st, const lw_ask_t *ask)
+static lw_fail_t refusal_reason(const lw_gate_t *g, const lw_admit_state_t *st,
+				const lw_call_request_t *req)
 {
-	if (lw_gate_leaving(g) && (!ask->target.len || lw_str_eq_c(ask->target, g->server_id)))
+	if (lw_gate_leaving(g) && (!req->target.len || lw_str_eq_c(req->target, g->server_id)))
 		return LW_FAIL_LEAVING;
-	if (g->refusing)
+	if (g->exiting)
 		return LW_FAIL_LEAVING;
-	if (!ends_in_time(g, (uint64_t)lw_admit_expected_wait_ms(st) * 1000,
-			  (uint64_t)ask->deadline_ms * 1000))
+	if (!finishes_before_exit(g, (uint64_t)lw_admit_expected_wait_ms(st) * 1000,
+				  (uint64_t)req->deadline_ms * 1000))
 		return LW_FAIL_LEAVING;
-	if (g->hub->now_us < g->down_until_us)
+	if (g->evloop->now_us < g->down_until_us)
 		return LW_FAIL_NO_SERVER;
-	if (ask->target.len && lw_str_eq_c(ask->target, g->replaced_id))
+	if (req->target.len && lw_str_eq_c(req->target, g->replaced_id))
 		return LW_FAIL_NO_SERVER;
 	if (g->queued_bytes > QUEUE_BYTES_MAX)
 		return LW_FAIL_BUSY;
 	return LW_FAIL_NONE;
 }
 
-static lw_waiter_t waiter_of(const lw_gate_t *g, const lw_admit_state_t *st, const lw_ask_t *ask)
+static lw_waiter_t waiter_of(const lw_gate_t *g, const lw_admit_state_t *st,
+			     const lw_call_request_t *req)
 {
-	uint64_t left_us = (uint64_t)ask->target_left_ms * 1000;
+	uint64_t left_us = (uint64_t)req->target_left_ms * 1000;
 
 	return (lw_waiter_t){
-		.priority = ask->rank / LW_RANKS_PER_PRIORITY,
+		.priority = req->rank / LW_RANKS_PER_PRIORITY,
 		.late = left_us < (uint64_t)g->service_us,
-		.target_us = g->hub->now_us + left_us,
-		.expires_us = g->hub->now_us + (uint64_t)lw_admit_wait_ms(st, ask) * 1000,
+		.target_us = g->evloop->now_us + left_us,
+		.expires_us = g->evloop->now_us + (uint64_t)lw_admit_wait_ms(st, req) * 1000,
 	};
 }
 
-/* what servers ended under is given to this one alone, or not at all */
-static bool may_be_given(const lw_gate_t *g, lw_quarantine_verdict_t verdict,
-			 const lw_fingerprint_t *print)
+/* a request that crashed servers is admitted only as a trial, and only one copy at a time */
+static bool quarantine_admits(const lw_gate_t *g, lw_quarantine_verdict_t verdict,
+			      const lw_fingerprint_t *print)
 {
 	if (verdict == LW_QUARANTINE_CLEAR)
 		return true;
@@ -217,68 +223,69 @@
 }
 
 /*
- * lw_gate_submit() - hand a request to the backend server or to the queue in
- * front of it. Returns the call, whose outcome @sink will hear; or NULL with
- * the reason in @why and when to come back, and @sink is not called.
+ * lw_gate_submit() - send a request to the backend server or add it to the queue.
+ * Returns the call, whose outcome is reported to @sink. On rejection returns NULL, sets the reason
+ * in @why and the delay before a retry in @retry_after_ms, and does not invoke @sink.
  */
-lw_call_t *lw_gate_submit(lw_gate_t *g, lw_sink_t *sink, const lw_ask_t *ask, lw_str_t body,
-			  bool fin, lw_fail_t *why, uint32_t *retry_after_ms)
+lw_call_t *lw_gate_submit(lw_gate_t *g, lw_sink_t *sink, const lw_call_request_t *req,
+			  lw_str_t body, bool fin, lw_fail_t *why, uint32_t *retry_after_ms)
 {
 	lw_quarantine_verdict_t verdict;
 	lw_fingerprinter_t print;
-	lw_waiter_t probe;
+	lw_waiter_t candidate;
 	lw_admit_state_t st;
 	lw_job_t *j;
 
-	lw_fingerprinter_begin(&print, ask->head, g->hub->names->header[LW_HEADER_ORGANISATION]);
+	lw_fingerprinter_begin(&print, req->head, g->evloop->names->header[LW_HEADER_ORGANISATION]);
 	lw_fingerprinter_body(&print, body, fin);
-	lw_gate_take_word(g, &ask->notice);
-	verdict = lw_quarantine_verdict(g->quarantine, &print.value, g->hub->now_us);
-	lw_level_arrival(&g->level, ask->rank);
-	if (!ev_is_active(&g->step))
-		ev_timer_again(g->hub->loop, &g->step);
-	own_load(g, &st.load);
-	probe = waiter_of(g, &st, ask);
-	st.ahead = (uint32_t)lw_waitq_ahead(&g->queue, &probe);
-	st.pace_ms = lw_pace_wait_ms(&g->pace, st.ahead, g->hub->now_us);
+	lw_gate_accept_reported_limit(g, &req->notice);
+	verdict = lw_quarantine_verdict(g->quarantine, &print.value, g->evloop->now_us);
+	lw_level_arrival(&g->level, req->rank);
+	if (!ev_is_active(&g->level_timer))
+		ev_timer_again(g->evloop->loop, &g->level_timer);
+	server_load(g, &st.load);
+	candidate = waiter_of(g, &st, req);
+	st.ahead = (uint32_t)lw_waitq_count_ahead(&g->queue, &candidate);
+	st.rate_wait_ms = lw_ratelimit_wait_ms(&g->ratelimit, st.ahead, g->evloop->now_us);
 	*retry_after_ms = lw_admit_retry_after_ms(&st.load);
-	*why = refusal(g, &st, ask);
-	if (!*why && !may_be_given(g, verdict, &print.value))
+	*why = refusal_reason(g, &st, req);
+	if (!*why && !quarantine_admits(g, verdict, &print.value))
 		*why = LW_FAIL_BUSY;
 	if (!*why)
-		*why = lw_admit(&st, ask);
+		*why = lw_admit(&st, req);
 	if (*why) {
 		g->stats.refused[*why]++;
-		g->stats.paced += *why == LW_FAIL_BUSY && st.pace_ms;
+		g->stats.paced += *why == LW_FAIL_BUSY && st.rate_wait_ms;
 		return NULL;
 	}
-	j = lw_job_new(g, sink, ask);
+	j = lw_job_new(g, sink, req);
 	j->print = print;
-	j->tried = verdict == LW_QUARANTINE_TRIAL;
+	j->tried_alone = verdict == LW_QUARANTINE_TRIAL;
 	j->fin = fin;
 	lw_bytebuf_append_str(&j->body, body);
 	g->ncalls++;
 	HASH_ADD_KEYPTR(hh, g->by_id, j->request_id, strlen(j->request_id), j);
-	if (occupied(g) < g->limit && !g->queue.first && lw_pace_ready(&g->pace, g->hub->now_us)) {
+	if (busy_slots(g) < g->limit && !g->queue.first &&
+	    lw_ratelimit_ready(&g->ratelimit, g->evloop->now_us)) {
 		lw_job_start(j);
 		return &j->call;
 	}
-	j->waiter = probe;
+	j->waiter = candidate;
 	g->queued_bytes += body.len;
 	lw_waitq_push(&g->queue, &j->waiter);
-	ev_timer_again(g->hub->loop, &g->expiry);
+	ev_timer_again(g->evloop->loop, &g->expiry_timer);
 	return &j->call;
 }
 
-/* lw_gate_oldest_us() - age of the oldest call here, at least 1; 0: there is none. */
+/* lw_gate_oldest_us() - age of the oldest call, at least 1; 0: there are no calls. */
 uint64_t lw_gate_oldest_us(const lw_gate_t *g)
 {
-	/* the table keeps the order of insertion */
-	return g->by_id ? g->hub->now_us - g->by_id->came_us + 1 : 0;
+	/* the hash table keeps the order of insertion */
+	return g->by_id ? g->evloop->now_us - g->by_id->arrived_us + 1 : 0;
 }
 
-/* lw_gate_hand_back() - what waits goes back unrun. */
-void lw_gate_hand_back(lw_gate_t *g, lw_fail_t why)
+/* lw_gate_reject_queued() - reject all queued requests with @why. */
+void lw_gate_reject_queued(lw_gate_t *g, lw_fail_t why)
 {
 	lw_waiter_t *w;
 
@@ -287,48 +294,52 @@
 }
 
 /*
- * lw_gate_server_down() - the backend server took no connection. What waits
- * would meet the same one after the other; it goes elsewhere while there is time.
+ * lw_gate_server_down() - the backend server accepted no connection. The queued requests would
+ * fail the same way one after the other, so they are rejected at once, while there is still time
+ * to send them to another server.
  */
 void lw_gate_server_down(lw_gate_t *g)
 {
-	if (g->hub->now_us < g->down_until_us) {
-		lw_gate_look_down(g);
+	if (g->evloop->now_us < g->down_until_us) {
+		lw_gate_confirm_crash(g);
 		return;
 	}
-	g->down_until_us = g->hub->now_us + DOWN_US;
+	g->down_until_us = g->evloop->now_us + DOWN_RETRY_US;
 	lw_log(LW_LOG_backend_error, "server=%s why=no_connection queued=%zu", g->server_id,
 	       g->queue.len);
-	lw_gate_hand_back(g, LW_FAIL_NO_SERVER);
-	lw_gate_look_down(g);
+	lw_gate_reject_queued(g, LW_FAIL_NO_SERVER);
+	lw_gate_confirm_crash(g);
 }
 
 /*
- * lw_gate_refuse() - this node is about to exit: what waits is handed back,
- * nothing new is taken, what runs goes on.
+ * lw_gate_stop_admitting() - this node is about to exit: reject all queued and new requests, let
+ * executing requests complete.
  */
-void lw_gate_refuse(lw_gate_t *g)
+void lw_gate_stop_admitting(lw_gate_t *g)
 {
-	g->refusing = true;
-	lw_gate_hand_back(g, LW_FAIL_LEAVING);
+	g->exiting = true;
+	lw_gate_reject_queued(g, LW_FAIL_LEAVING);
 }
 
-/* what was learned of the process before says nothing of the new one */
+/* nothing known about the previous process applies to the new one */
 static void forget_server(lw_gate_t *g, const lw_place_host_t *server)
 {
 	g->replaced_id[0] = '\0';
 	g->down_until_us = 0;
 	g->failing = 0;
-	g->told_busy = 0;
-	g->since_told = 0;
-	/* what others told before the first list is of this process, unless they named another */
-	if (g->server_id[0] || !lw_notice_is_of(&g->notice, server->id, server->born_ms))
-		lw_gate_forget_notice(g);
+	g->reported_busy = 0;
+	g->started_since_report = 0;
+	/*
+	 * a notice received from other nodes before the first server list is about this process,
+	 * unless it names a different one
+	 */
+	if (g->server_id[0] || !lw_notice_matches(&g->notice, server->id, server->born_ms))
+		lw_gate_reset_notice(g);
 }
 
 /*
- * lw_gate_set_server() - the backend server on this host as it registered
- * itself. When it is leaving, what still waits is handed back at once.
+ * lw_gate_set_server() - set the registration of the backend server on this host. If the server is
+ * leaving, all queued requests are rejected at once.
  */
 void lw_gate_set_server(lw_gate_t *g, const lw_place_host_t *server)
 {
@@ -342,19 +353,22 @@
 		forget_server(g, server);
 	lw_str_copy(g->server_id, sizeof(g->server_id), lw_str_c(server->id));
 	g->server_born_ms = server->born_ms;
-	g->notice.server = lw_notice_server(server->id);
+	g->notice.server = lw_notice_server_digest(server->id);
 	g->notice.born_ms = server->born_ms;
-	/* told to nodes that start anew, too, whatever the store still has then */
+	/* also reported to nodes that restart, whatever the store contains by then */
 	g->notice.leaving |= server->draining;
 	lw_gate_set_leaving(g, server->draining);
 }
 
-/* lw_gate_set_leaving() - whether the list says that the backend server takes no new work. */
+/*
+ * lw_gate_set_leaving() - set whether the server list says that the backend server accepts no new
+ * work.
+ */
 void lw_gate_set_leaving(lw_gate_t *g, bool leaving)
 {
 	g->leaving = leaving;
 	if (leaving)
-		lw_gate_hand_back(g, LW_FAIL_LEAVING);
+		lw_gate_reject_queued(g, LW_FAIL_LEAVING);
 }
 
 static lw_job_t *job_by_id(const lw_gate_t *g, lw_str_t id)
@@ -366,8 +380,8 @@
 }
 
 /*
- * lw_gate_parent() - whether the request with @id runs here, and what a call
- * made for it takes over.
+ * lw_gate_parent() - look up the request with @id and return in @out what a nested call inherits
+ * from it. Returns false if no such request is queued or executing here.
  */
 bool lw_gate_parent(const lw_gate_t *g, lw_str_t id, lw_gate_parent_t *out)
 {
@@ -379,7 +393,10 @@
 	return true;
 }
 
-/* lw_gate_note_call() - what the answer to a call of request @parent_id told. */
+/*
+ * lw_gate_note_call() - add the load reported with the answer to a nested call to its parent
+ * request @parent_id.
+ */
 void lw_gate_note_call(lw_gate_t *g, lw_str_t parent_id, const lw_load_t *load)
 {
 	lw_job_t *j = job_by_id(g, parent_id);
@@ -391,10 +408,10 @@
 	if (load->retry_used > j->retry_used)
 		j->retry_used = load->retry_used;
 	for (uint32_t i = 0; i < load->hots.n; i++)
-		lw_hots_add(&j->hots, &load->hots.hot[i]);
+		lw_path_levels_add(&j->hots, &load->hots.hot[i]);
 }
 
-/* lw_gate_note_failure() - a call made for request @parent_id failed. */
+/* lw_gate_note_failure() - record that a nested call of request @parent_id failed. */
 void lw_gate_note_failure(lw_gate_t *g, lw_str_t parent_id)
 {
 	lw_job_t *j = job_by_id(g, parent_id);
@@ -403,47 +420,47 @@
 		j->call_failed = true;
 }
 
-/* a limit of requests a second is one slot that each of them holds for its part of a second */
+/* a rate limit is equivalent to a single slot that each request occupies for 1/rate seconds */
 static lw_level_input_t level_input(const lw_gate_t *g)
 {
 	uint32_t queued = (uint32_t)g->queue.len;
-	double each_us = g->pace.on ? 1e6 / fmax(g->pace.per_s, LEVEL_LEAST_PER_S) : 0;
+	double each_us = g->ratelimit.on ? 1e6 / fmax(g->ratelimit.per_s, LEVEL_MIN_PER_S) : 0;
 
 	if (each_us > g->service_us / g->limit)
-		return (lw_level_input_t){ queued, occupied(g), 1, each_us };
-	return (lw_level_input_t){ queued, occupied(g), g->limit, g->service_us };
+		return (lw_level_input_t){ queued, busy_slots(g), 1, each_us };
+	return (lw_level_input_t){ queued, busy_slots(g), g->limit, g->service_us };
 }
 
-static void on_step(struct ev_loop *loop, ev_timer *w, int revents)
+static void on_level_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_gate_t *g = w->data;
 	lw_level_input_t in = level_input(g);
-	bool quiet = !g->ncalls && !g->level.arrivals && g->level.level == LW_LEVEL_OPEN;
+	bool idle_now = !g->ncalls && !g->level.arrivals && g->level.level == LW_LEVEL_ADMIT_ALL;
 
 	(void)revents;
-	g->quiet_steps = quiet ? g->quiet_steps + 1 : 0;
+	g->idle_steps = idle_now ? g->idle_steps + 1 : 0;
 	lw_level_step(&g->level, &in);
-	g->failing *= FAILING_FADES;
-	count_lost(g);
+	g->failing *= FAILING_DECAY;
+	update_lost_answers(g);
 	if (g->queue.first)
 		lw_gate_dispatch(g);
-	if (g->quiet_steps > QUIET_STEPS)
-		ev_timer_stop(loop, &g->step);
+	if (g->idle_steps > IDLE_STEPS_MAX)
+		ev_timer_stop(loop, &g->level_timer);
 }
 
-/* lw_gate_init() - a gate in front of the backend server of the settings. */
-void lw_gate_init(lw_gate_t *g, lw_hub_t *hub, lw_quarantine_t *quarantine)
+/* lw_gate_init() - initialise the gate of the backend server named in the settings. */
+void lw_gate_init(lw_gate_t *g, lw_evloop_t *evloop, lw_quarantine_t *quarantine)
 {
 	memset(g, 0, sizeof(*g));
-	g->hub = hub;
+	g->evloop = evloop;
 	g->quarantine = quarantine;
 	g->limit = lw_admit_limit(0);
-	g->service_us = SERVICE_FIRST_US;
-	ev_timer_init(&g->expiry, on_expiry, 0, EXPIRY_STEP_S);
-	g->expiry.data = g;
+	g->service_us = SERVICE_INITIAL_US;
+	ev_timer_init(&g->expiry_timer, on_expiry_timer, 0, EXPIRY_INTERVAL_S);
+	g->expiry_timer.data = g;
 	lw_level_init(&g->level);
-	lw_gate_look_init(g);
-	ev_timer_init(&g->step, on_step, 0, LW_LEVEL_STEP_MS / 1000.0);
-	g->step.data = g;
-	lw_hub_on_tick(hub, lw_gate_close_old_idle, g);
+	lw_gate_crash_init(g);
+	ev_timer_init(&g->level_timer, on_level_timer, 0, LW_LEVEL_STEP_MS / 1000.0);
+	g->level_timer.data = g;
+	lw_evloop_on_tick(evloop, lw_gate_close_expired_idle, g);
 }
--- a/src/gatejob.c
+++ b/src/gatejob.c
@@ -1,4 +1,4 @@
-/* One request at the backend server on this host, from the queue to its answer. */
+/* One request to the backend server on this host, from the queue to its answer. */
 #include "gate_int.h"
 
 #include <stdio.h>
@@ -9,23 +9,23 @@
 #include "log.h"
 #include "xalloc.h"
 
-/* the backend server is given so much more time to answer at its deadline, ms */
+/* extra time for the answer after the deadline, ms */
 #define DEADLINE_SLACK_MS 150
-/* weight of one more request in the average time a request runs */
+/* weight of a new sample in the average execution time */
 #define SERVICE_EWMA 0.05
-/* weight of one more outcome in the average of failures */
+/* weight of a new sample in the average failure rate */
 #define FAILING_EWMA 0.03
 
-/* the same, and what the job's own calls were told */
+/* load of the gate, plus what the nested calls of the job reported */
 static void job_load(const lw_job_t *j, lw_load_t *out)
 {
 	lw_gate_load(j->gate, out);
 	out->call_failed = j->call_failed;
-	out->ran_us = j->started_us ? (uint32_t)(j->gate->hub->now_us - j->started_us) : 0;
+	out->ran_us = j->started_us ? (uint32_t)(j->gate->evloop->now_us - j->started_us) : 0;
 	out->depth = j->depth;
 	out->retry_used = j->retry_used;
 	for (uint32_t i = 0; i < j->hots.n; i++)
-		lw_hots_add(&out->hots, &j->hots.hot[i]);
+		lw_path_levels_add(&out->hots, &j->hots.hot[i]);
 }
 
 static void job_release(lw_job_t *j)
@@ -35,7 +35,7 @@
 	if (j->dead)
 		return;
 	j->dead = true;
-	ev_timer_stop(g->hub->loop, &j->timer);
+	ev_timer_stop(g->evloop->loop, &j->timer);
 	if (j->started_us) {
 		g->running--;
 	} else {
@@ -50,19 +50,19 @@
 	lw_bytebuf_free(&j->answer_head_text);
 	free(j->request_id);
 	j->request_id = NULL;
-	lw_hub_free_later(g->hub, j);
+	lw_evloop_free_later(g->evloop, j);
 }
 
 /*
- * One node sees few of a server's requests; the node beside it sees all. What
- * it tells lets every node turn away from a faulty server at the first answer.
+ * A remote node sees only a few of a server's requests; the node on its host sees all. Reporting
+ * the failure rate with each answer lets other nodes avoid a faulty server after its first answer.
  */
-static void took_outcome(lw_gate_t *g, bool failed)
+static void record_outcome(lw_gate_t *g, bool failed)
 {
 	g->failing += FAILING_EWMA * ((failed ? 1.0 : 0.0) - g->failing);
 }
 
-/* lw_job_fail() - end the call with @why; what waits behind it may start. */
+/* lw_job_fail() - end the call with @why, then start queued requests if there is room. */
 void lw_job_fail(lw_job_t *j, lw_fail_t why)
 {
 	lw_gate_t *g = j->gate;
@@ -73,14 +73,14 @@
 		return;
 	g->stats.refused[why]++;
 	if (lw_fail_reached_server(why))
-		took_outcome(g, true);
+		record_outcome(g, true);
 	lw_log(LW_LOG_call_ended,
 	       "id=%s server=%s why=%s print=%016llx ran_ms=%llu waited_ms=%llu running=%u queued=%zu limit=%u",
 	       j->request_id, j->target, lw_fail_name(why),
 	       (unsigned long long)j->print.value.whole,
-	       j->started_us ? (unsigned long long)((g->hub->now_us - j->started_us) / 1000) : 0,
-	       (unsigned long long)(((j->started_us ? j->started_us : g->hub->now_us) -
-				     j->came_us) /
+	       j->started_us ? (unsigned long long)((g->evloop->now_us - j->started_us) / 1000) : 0,
+	       (unsigned long long)(((j->started_us ? j->started_us : g->evloop->now_us) -
+				     j->arrived_us) /
 				    1000),
 	       g->running, g->queue.len, g->limit);
 	if (j->conn) {
@@ -100,14 +100,14 @@
 	lw_job_fail(w->data, LW_FAIL_TIMEOUT);
 }
 
-static void pass_answer(lw_job_t *j, bool fin)
+static void forward_answer(lw_job_t *j, bool fin)
 {
 	lw_sink_t *sink = j->call.sink;
 	lw_str_t body = { lw_bytebuf_head(&j->answer), lw_bytebuf_len(&j->answer) };
 	lw_load_t load;
 
-	if (!j->head_passed) {
-		j->head_passed = true;
+	if (!j->head_sent) {
+		j->head_sent = true;
 		job_load(j, &load);
 		if (fin && j->answer_head.body_length < 0)
 			j->answer_head.body_length = (int64_t)body.len;
@@ -138,33 +138,35 @@
 		j->call.sink->ops->credit(j->call.sink, (uint32_t)credit);
 }
 
-/* what the backend server announces with the answer; one that is not the target says nothing of it */
-static void heed_notice(const lw_job_t *j, const lw_httphead_t *h)
+/*
+ * processes the self-announcement in the answer; ignored if the answering server is not the target
+ */
+static void apply_notice(const lw_job_t *j, const lw_httphead_t *h)
 {
-	lw_notice_said_t said = lw_httphead_notice(h);
+	lw_notice_fields_t said = lw_httphead_notice(h);
 
 	if (h->status != 421 && strcmp(j->target, j->gate->server_id) == 0)
-		lw_gate_heard(j->gate, &said, j->started_us);
+		lw_gate_on_notice(j->gate, &said, j->started_us);
 }
 
 /*
- * A faulty server may send a second answer late, at the place of the next
- * one. The caller would get another request's data; only the id tells.
+ * A faulty server may send a second answer late, in place of the answer to the next request. The
+ * caller would then receive another request's data; only the request id reveals the mismatch.
  */
 static bool on_head(void *user, const lw_httphead_t *h)
 {
 	lw_job_t *j = user;
 	lw_gate_t *g = j->gate;
 	lw_str_t id = lw_httphead_find(h, LW_HEADER_REQUEST_ID);
-	bool not_run = lw_httphead_find(h, LW_HEADER_NOT_RUN).ptr || h->status == 421;
+	bool not_executed = lw_httphead_find(h, LW_HEADER_NOT_EXECUTED).ptr || h->status == 421;
 
 	lw_gate_learn_load(g, lw_httphead_find(h, LW_HEADER_LOAD));
-	if (j->request_id[0] && !lw_str_eq_c(id, j->request_id) && !(not_run && !id.ptr)) {
+	if (j->request_id[0] && !lw_str_eq_c(id, j->request_id) && !(not_executed && !id.ptr)) {
 		g->stats.invalid_answers++;
 		return false;
 	}
-	heed_notice(j, h);
-	j->not_run = not_run;
+	apply_notice(j, h);
+	j->not_executed = not_executed;
 	j->answer_head.status = h->status;
 	j->answer_head.body_length = h->body_length < 0 ? -1 : h->body_length;
 	lw_httphead_forward(h, false, &j->answer_head_text);
@@ -175,11 +177,11 @@
 {
 	lw_job_t *j = user;
 
-	if (j->not_run)
+	if (j->not_executed)
 		return;
 	lw_bytebuf_append_str(&j->answer, data);
-	if (j->head_passed || lw_bytebuf_len(&j->answer) > ANSWER_WHOLE_BYTES)
-		pass_answer(j, false);
+	if (j->head_sent || lw_bytebuf_len(&j->answer) > ANSWER_BUFFER_BYTES)
+		forward_answer(j, false);
 	if (!j->dead && j->window <= 0)
 		lw_bconn_pause(j->conn, true);
 }
@@ -189,9 +191,12 @@
 	lw_job_t *j = user;
 	lw_gate_t *g = j->gate;
 	lw_bconn_t *c = j->conn;
-	uint64_t took = g->hub->now_us - j->started_us;
+	uint64_t took = g->evloop->now_us - j->started_us;
 
-	/* a request that is not read to its end leaves bytes the server may misread */
+	/*
+	 * if the request was not read completely, the server may parse its remaining bytes as a new
+	 * request
+	 */
 	if (!j->fin || j->unacked)
 		reusable = false;
 	j->conn = NULL;
@@ -199,25 +204,26 @@
 		lw_gate_keep_connection(g, c);
 	else
 		lw_bconn_close(c);
-	if (j->not_run && j->answer_head.status == 421)
+	if (j->not_executed && j->answer_head.status == 421)
 		lw_str_copy(g->replaced_id, sizeof(g->replaced_id), lw_str_c(j->target));
-	if (j->not_run) {
+	if (j->not_executed) {
 		lw_job_fail(j, j->answer_head.status == 421 ? LW_FAIL_MISDIRECTED : LW_FAIL_SHED);
 		return;
 	}
 	/*
-	 * A server that fails at once is not a fast one: counted so, two of 17 that
-	 * failed while they said they were healthy drew a third of all calls of a
-	 * service, and 12,700 requests were lost in five seconds.
+	 * Failures are left out of the average execution time, or a server that fails immediately
+	 * would look fast: two of 17 servers that failed while reporting themselves healthy
+	 * attracted a third of all calls of a service, and 12,700 requests were lost in five
+	 * seconds.
 	 */
-	lw_gate_ran(g, took);
+	lw_gate_record_duration(g, took);
 	if (j->answer_head.status < 500)
 		g->service_us += SERVICE_EWMA * ((double)took - g->service_us);
 	g->stats.answered++;
-	took_outcome(g, j->answer_head.status >= 500 && !j->call_failed);
-	/* told after this request has left, so that its place shows as free */
+	record_outcome(g, j->answer_head.status >= 500 && !j->call_failed);
+	/* not counted while the answer is forwarded, so that its slot is reported as free */
 	g->running--;
-	pass_answer(j, true);
+	forward_answer(j, true);
 	g->running++;
 	job_release(j);
 	lw_gate_dispatch(g);
@@ -232,7 +238,7 @@
 
 	j->conn = NULL;
 	if (sent) {
-		lw_gate_look(j);
+		lw_gate_check_crash(j);
 		return;
 	}
 	lw_job_fail(j, LW_FAIL_NO_SERVER);
@@ -248,7 +254,7 @@
 	.broken = on_broken,
 };
 
-/* body bytes to the connection, framed as the head said */
+/* queues body bytes on the connection, framed as announced in the head */
 static void send_body(lw_job_t *j, lw_str_t data, bool fin)
 {
 	char line[32];
@@ -269,14 +275,14 @@
 
 static uint32_t time_left_ms(const lw_job_t *j)
 {
-	uint64_t now = j->gate->hub->now_us;
+	uint64_t now = j->gate->evloop->now_us;
 
 	return j->deadline_us > now ? (uint32_t)((j->deadline_us - now) / 1000) : 0;
 }
 
 static void send_head(lw_job_t *j)
 {
-	const lw_wirenames_t *names = j->gate->hub->names;
+	const lw_wirenames_t *names = j->gate->evloop->names;
 	lw_bytebuf_t *h = &j->head;
 	const char *method = lw_bytebuf_head(h);
 
@@ -289,7 +295,7 @@
 	lw_bconn_queue(j->conn, (lw_str_t){ lw_bytebuf_head(h), j->head_left });
 }
 
-/* lw_job_start() - give the request to the backend server now. */
+/* lw_job_start() - send the request to the backend server. */
 void lw_job_start(lw_job_t *j)
 {
 	lw_gate_t *g = j->gate;
@@ -297,16 +303,16 @@
 		lw_bytebuf_len(&j->head) > 5 && memcmp(lw_bytebuf_head(&j->head), "HEAD ", 5) == 0;
 
 	j->conn = lw_gate_take_connection(g);
-	j->started_us = g->hub->now_us;
+	j->started_us = g->evloop->now_us;
 	g->running++;
-	g->since_told++;
-	lw_pace_take(&g->pace, g->hub->now_us);
+	g->started_since_report++;
+	lw_ratelimit_take(&g->ratelimit, g->evloop->now_us);
 	if (!j->conn) {
 		lw_job_fail(j, LW_FAIL_NO_SERVER);
 		return;
 	}
 	g->stats.started++;
-	lw_histogram_add(&g->stats.wait, j->started_us - j->came_us);
+	lw_histogram_add(&g->stats.wait, j->started_us - j->arrived_us);
 	lw_bconn_start(j->conn, &conn_ops, j, is_head);
 	if (j->body_length < 0 || j->body_length > LW_CALL_WINDOW)
 		lw_bconn_long_body(j->conn);
@@ -317,7 +323,7 @@
 	ev_timer_init(&j->timer, on_job_timeout, 0, 0);
 	ev_timer_set(&j->timer, (time_left_ms(j) + DEADLINE_SLACK_MS) / 1000.0, 0);
 	j->timer.data = j;
-	ev_timer_start(g->hub->loop, &j->timer);
+	ev_timer_start(g->evloop->loop, &j->timer);
 	lw_bconn_flush(j->conn);
 }
 
@@ -350,8 +356,8 @@
 }
 
 /*
- * The caller left: closing the connection makes the backend server drop the
- * request, which otherwise runs on for nobody.
+ * The caller disconnected: closing the connection makes the backend server drop the request, which
+ * it would otherwise execute in vain.
  */
 static void job_cancel(lw_call_t *call)
 {
@@ -374,24 +380,24 @@
 	.cancel = job_cancel,
 };
 
-/* lw_job_new() - a call that neither runs nor waits yet. */
-lw_job_t *lw_job_new(lw_gate_t *g, lw_sink_t *sink, const lw_ask_t *ask)
+/* lw_job_new() - create a job that is neither queued nor started. */
+lw_job_t *lw_job_new(lw_gate_t *g, lw_sink_t *sink, const lw_call_request_t *req)
 {
 	lw_job_t *j = xcalloc(1, sizeof(*j));
 
 	j->call.ops = &job_ops;
 	j->call.sink = sink;
 	j->gate = g;
-	j->body_length = ask->body_length;
-	j->came_us = g->hub->now_us;
-	j->deadline_us = g->hub->now_us + (uint64_t)ask->deadline_ms * 1000;
-	j->target_us = g->hub->now_us + (uint64_t)ask->target_left_ms * 1000;
+	j->body_length = req->body_length;
+	j->arrived_us = g->evloop->now_us;
+	j->deadline_us = g->evloop->now_us + (uint64_t)req->deadline_ms * 1000;
+	j->target_us = g->evloop->now_us + (uint64_t)req->target_left_ms * 1000;
 	j->window = LW_CALL_WINDOW;
-	j->rank = ask->rank;
-	j->repeat = ask->repeat;
-	lw_bytebuf_append_str(&j->head, ask->head);
-	j->request_id = lw_str_dup(ask->request_id);
-	lw_str_copy(j->target, sizeof(j->target), ask->target);
+	j->rank = req->rank;
+	j->repeat = req->repeat;
+	lw_bytebuf_append_str(&j->head, req->head);
+	j->request_id = lw_str_dup(req->request_id);
+	lw_str_copy(j->target, sizeof(j->target), req->target);
 	ev_timer_init(&j->timer, on_job_timeout, 0, 0);
 	return j;
 }
--- a/src/lwctl.c
+++ b/src/lwctl.c
@@ -1,16 +1,17 @@
 /*
- * lwctl: the operators' client.
- *   lwctl check FILE            check a configuration document offline: presets, or the
- *                               platform's (JSON)
+ * lwctl: the command-line client for operators.
+ *   lwctl check FILE            check a configuration document offline: presets (TOML) or
+ *                               the platform's document (JSON)
  *   lwctl check-settings FILE   check a node settings file offline
- *   lwctl status ADMIN          preset, config version, limits, peers of a node
- *   lwctl metrics ADMIN         a node's counters
+ *   lwctl status ADMIN          print preset, config version, limits and peers of a node
+ *   lwctl metrics ADMIN         print the counters of a node
  *   lwctl drain ADMIN           start a graceful stop of a node
- *   lwctl explain ID LOG...     one request's story from nodes' logs ("-": standard input)
- *   lwctl events                the log event catalogue
- * ADMIN is the node's admin address, ip:port; of lwproxy the address of its
- * metrics. --json prints explain's story for programs. Exit status: 0 done, 1
- * the answer is no (a file is wrong, no line of the request), 2 wrong usage.
+ *   lwctl explain ID LOG...     trace one request through the logs of nodes ("-": standard input)
+ *   lwctl events                print the log event catalogue
+ * ADMIN is the admin address ip:port of the node, for lwproxy the address of
+ * its metrics. --json prints the result of explain as JSON. Exit status: 0 on
+ * success, 1 on a negative result (invalid file, no log line of the request),
+ * 2 on wrong usage.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -26,8 +27,8 @@
 #include "settings.h"
 #include "xalloc.h"
 
-/* most words after the command: the logs of a large fleet */
-#define WORDS_MAX 4096
+/* most arguments of a command; allows for the logs of a large fleet */
+#define ARGS_MAX 4096
 
 static int read_file(const char *path, char **buf, size_t *len)
 {
@@ -44,12 +45,12 @@
 }
 
 typedef struct args {
-	const char *const *word; /* after the command */
+	const char *const *operands; /* arguments that follow the command */
 	int n;
 	bool json;
 } args_t;
 
-/* the platform's configuration, as it lies in its store */
+/* check the platform's configuration document, in the format of its store */
 static int check_document(const char *path, const char *text, size_t len)
 {
 	lw_fleetconf_t *fc;
@@ -67,7 +68,7 @@
 
 static int cmd_check(const args_t *a)
 {
-	const char *path = a->word[0];
+	const char *path = a->operands[0];
 	char *buf;
 	size_t len;
 	lw_platconf_t *pc;
@@ -92,8 +93,8 @@
 	return 0;
 }
 
-/* settings of lwproxy have a [host] table, those of lwnode do not */
-static bool for_proxy(const char *path)
+/* only settings of lwproxy have a [host] table */
+static bool is_proxy_settings(const char *path)
 {
 	char *buf = NULL;
 	size_t len;
@@ -109,10 +110,10 @@
 
 static int check_proxy_settings(const char *path)
 {
-	lw_proxyset_t s;
+	lw_proxy_settings_t s;
 
-	lw_proxyset_defaults(&s);
-	if (lw_proxyset_load(path, &s)) {
+	lw_proxy_settings_defaults(&s);
+	if (lw_proxy_settings_load(path, &s)) {
 		fprintf(stderr, "%s\n", lw_error_last());
 		return 1;
 	}
@@ -123,10 +124,10 @@
 
 static int cmd_check_settings(const args_t *a)
 {
-	const char *path = a->word[0];
+	const char *path = a->operands[0];
 	lw_settings_t s;
 
-	if (for_proxy(path))
+	if (is_proxy_settings(path))
 		return check_proxy_settings(path);
 	lw_settings_defaults(&s);
 	if (lw_settings_load(path, &s)) {
@@ -144,17 +145,17 @@
 
 static int cmd_status(const args_t *a)
 {
-	return call_admin(a->word[0], "GET", "/status");
+	return call_admin(a->operands[0], "GET", "/status");
 }
 
 static int cmd_metrics(const args_t *a)
 {
-	return call_admin(a->word[0], "GET", "/metrics");
+	return call_admin(a->operands[0], "GET", "/metrics");
 }
 
 static int cmd_drain(const args_t *a)
 {
-	return call_admin(a->word[0], "POST", "/drain");
+	return call_admin(a->operands[0], "POST", "/drain");
 }
 
 static int read_log(lw_explain_t *e, const char *path)
@@ -182,14 +183,14 @@
 	lw_explain_t e;
 	int rc = 0;
 
-	lw_explain_init(&e, a->word[0]);
+	lw_explain_init(&e, a->operands[0]);
 	for (int i = 1; i < a->n && !rc; i++)
-		rc = read_log(&e, a->word[i]);
+		rc = read_log(&e, a->operands[i]);
 	if (!rc && !e.nlines) {
 		fprintf(stderr,
 			"lwctl: no line of request %s; served requests leave none, and "
 			"%llu lines were left out for volume\n",
-			a->word[0], (unsigned long long)e.dropped);
+			a->operands[0], (unsigned long long)e.dropped);
 		rc = 1;
 	}
 	if (!rc) {
@@ -213,7 +214,7 @@
 static const struct {
 	const char *name;
 	int (*run)(const args_t *a);
-	int words; /* at least */
+	int min_operands;
 	const char *usage;
 } commands[] = {
 	{ "check", cmd_check, 1, "check FILE" },
@@ -230,7 +231,7 @@
 	for (size_t i = 0; i < sizeof(commands) / sizeof(commands[0]); i++) {
 		if (strcmp(commands[i].name, name) != 0)
 			continue;
-		if (a->n >= commands[i].words)
+		if (a->n >= commands[i].min_operands)
 			return commands[i].run(a);
 		fprintf(stderr, "lwctl: usage: lwctl %s\n", commands[i].usage);
 		return 2;
@@ -245,9 +246,9 @@
 	struct arg_str *cmd =
 		arg_str0(NULL, NULL, "COMMAND",
 			 "check, check-settings, status, metrics, drain, explain, events");
-	struct arg_str *what = arg_strn(NULL, NULL, "ARG", 0, WORDS_MAX,
-					"FILE, node admin ip:port, or request id and logs");
-	struct arg_lit *json = arg_lit0(NULL, "json", "explain: print JSON");
+	struct arg_str *what = arg_strn(NULL, NULL, "ARG", 0, ARGS_MAX,
+					"FILE, admin ip:port of a node, or request id and logs");
+	struct arg_lit *json = arg_lit0(NULL, "json", "print the result of explain as JSON");
 	void *table[] = { cli.help, cli.version, json, cmd, what, cli.end };
 	int rc = lw_cli_parse(&cli, argc, argv, table);
 	args_t a;
@@ -255,7 +256,7 @@
 	if (rc != LW_CLI_RUN)
 		return rc;
 	if (!cmd->count) {
-		fprintf(stderr, "lwctl: give a command; see 'lwctl --help'\n");
+		fprintf(stderr, "lwctl: missing command; see 'lwctl --help'\n");
 		return 2;
 	}
 	a = (args_t){ what->sval, what->count, json->count > 0 };
--- a/src/meshcall.c
+++ b/src/meshcall.c
@@ -1,6 +1,6 @@
 /*
- * Requests as streams of frames, on the side that sends them and on the side that
- * runs them.
+ * Requests as streams of frames, both on the node that sends them and on the node that
+ * executes them.
  */
 #include "mesh_int.h"
 
@@ -8,36 +8,39 @@
 
 #include "xalloc.h"
 
-/* the table of @s by origin: what this node sent, or what it took from others */
+/* the by-origin table of @s: requests sent by this node or received from others */
 static lw_stream_t **table_of(const lw_stream_t *s)
 {
 	lw_mesh_t *m = s->link->mesh;
 
-	return s->call.sink ? &m->sent : &m->taken;
+	return s->call.sink ? &m->sent : &m->incoming;
 }
 
-/* lw_stream_by_origin() - the request in @table that was sent over @link as @id; NULL: there is none. */
+/*
+ * lw_stream_by_origin() - returns the request in @table that was sent over @link as @id;
+ * NULL if there is none.
+ */
 lw_stream_t *lw_stream_by_origin(lw_stream_t *table, uint64_t link, uint32_t id)
 {
 	lw_stream_t key, *s;
 
 	memset(&key, 0, sizeof(key));
-	key.origin = (lw_origin_t){ link, id };
+	key.origin = (lw_stream_origin_t){ link, id };
 	HASH_FIND(by_origin, table, &key.origin, sizeof(key.origin), s);
 	return s;
 }
 
-/* lw_stream_add() - a new request is on @l as @id. */
+/* lw_stream_add() - adds a new request to @l as stream @id. */
 void lw_stream_add(lw_stream_t *s, lw_link_t *l, uint32_t id)
 {
 	s->link = l;
 	s->id = id;
-	s->origin = (lw_origin_t){ l->name, id };
+	s->origin = (lw_stream_origin_t){ l->name, id };
 	HASH_ADD(hh, l->streams, id, sizeof(s->id), s);
 	HASH_ADD(by_origin, *table_of(s), origin, sizeof(s->origin), s);
 }
 
-/* lw_stream_move() - the request goes on over @to as @id. */
+/* lw_stream_move() - moves the request to connection @to as stream @id. */
 void lw_stream_move(lw_stream_t *s, lw_link_t *to, uint32_t id)
 {
 	HASH_DEL(s->link->streams, s);
@@ -46,7 +49,7 @@
 	HASH_ADD(hh, to->streams, id, sizeof(s->id), s);
 }
 
-/* lw_stream_free() - the stream is over; freed when this turn of the loop ends. */
+/* lw_stream_free() - ends the stream; its memory is freed at the end of this loop iteration. */
 void lw_stream_free(lw_stream_t *s)
 {
 	if (s->dead)
@@ -54,7 +57,7 @@
 	s->dead = true;
 	HASH_DELETE(by_origin, *table_of(s), s);
 	HASH_DEL(s->link->streams, s);
-	lw_hub_free_later(s->link->mesh->hub, s);
+	lw_evloop_free_later(s->link->mesh->evloop, s);
 }
 
 static lw_stream_t *stream_find(lw_link_t *l, uint32_t id)
@@ -90,7 +93,7 @@
 	lw_link_send(s->link, &f);
 }
 
-/* the side that sent the request */
+/* the sending side */
 
 static void call_body(lw_call_t *call, lw_str_t data, bool fin)
 {
@@ -108,7 +111,7 @@
 		send_credit(s, bytes);
 }
 
-/* lw_mesh_send_cancel() - nobody waits for the answer of stream @id any more. */
+/* lw_mesh_send_cancel() - tells the peer that the response of stream @id is no longer needed. */
 void lw_mesh_send_cancel(lw_link_t *l, uint32_t id)
 {
 	Lw__Cancel c = LW__CANCEL__INIT;
@@ -136,7 +139,7 @@
 	.cancel = call_cancel,
 };
 
-/* the side that runs the request */
+/* the executing side */
 
 static lw_stream_t *stream_of_sink(lw_sink_t *sink)
 {
@@ -180,10 +183,10 @@
 	if (s->dead)
 		return;
 	send_answer(s->link, s->id, a, body, fin, load);
-	s->answering = true;
+	s->response_started = true;
 	if (!fin)
 		return;
-	lw_meshkept_answer(&m->kept, &s->origin, a, body, m->hub->now_us);
+	lw_meshoutcomes_add_answer(&m->outcomes, &s->origin, a, body, m->evloop->now_us);
 	lw_stream_free(s);
 }
 
@@ -215,14 +218,15 @@
 	lw_link_send(l, &f);
 }
 
-/* the request is over without an answer: its sender is told */
+/* ends the request without a response and reports this to its sender */
 static void end_failed(lw_stream_t *s, lw_fail_t why, uint32_t retry_after_ms,
 		       const lw_load_t *load)
 {
 	lw_mesh_t *m = s->link->mesh;
 
 	send_failed(s->link, s->id, why, retry_after_ms, load);
-	lw_meshkept_failure(&m->kept, &s->origin, why, retry_after_ms, m->hub->now_us);
+	lw_meshoutcomes_add_failure(&m->outcomes, &s->origin, why, retry_after_ms,
+				    m->evloop->now_us);
 	lw_stream_free(s);
 }
 
@@ -235,8 +239,8 @@
 		end_failed(s, why, retry_after_ms, load);
 }
 
-/* lw_mesh_send_kept() - the outcome of a request once more, as that of stream @id. */
-void lw_mesh_send_kept(lw_link_t *l, uint32_t id, const lw_kept_t *o)
+/* lw_mesh_send_outcome() - sends the retained outcome of a request again, for stream @id. */
+void lw_mesh_send_outcome(lw_link_t *l, uint32_t id, const lw_retained_outcome_t *o)
 {
 	lw_load_t own;
 
@@ -249,7 +253,7 @@
 
 static void sink_silent(lw_sink_t *sink)
 {
-	(void)sink; /* the gate runs on this host and is never silent */
+	(void)sink; /* the gate runs in this process and is never silent */
 }
 
 static const lw_sink_ops_t sink_ops = {
@@ -261,14 +265,14 @@
 };
 
 /*
- * lw_mesh_on_open() - a request comes in. One that lay in a buffer while this
- * host was suspended carries the time that was left when it was sent. Without
- * taking off the time asleep it would run long after its caller was answered.
+ * lw_mesh_on_open() - receives a request. A request that lay in a buffer while this host
+ * was suspended carries the time that was left when it was sent. Unless the suspend time is
+ * subtracted, the request would be executed long after its caller was answered.
  */
 void lw_mesh_on_open(lw_link_t *l, const Lw__Open *o)
 {
 	uint32_t late_ms = (uint32_t)(l->late_us / 1000);
-	lw_ask_t ask = {
+	lw_call_request_t ask = {
 		.head = lw_meshframe_str(o->head),
 		.request_id = lw_meshframe_str(o->request_id),
 		.target = lw_meshframe_str(o->target),
@@ -284,17 +288,17 @@
 	lw_fail_t why;
 	uint32_t retry_after_ms;
 
-	if (l->barred) {
+	if (l->rejects_requests) {
 		lw_link_lost(l);
 		return;
 	}
 	if (o->stream >= l->last_open)
 		l->last_open = o->stream + 1;
-	if (lw_link_gave_up(l, o->stream))
+	if (lw_link_cancel_buffered(l, o->stream))
 		return;
 	s = xcalloc(1, sizeof(*s));
 	s->as_sink.ops = &sink_ops;
-	s->request_whole = o->fin;
+	s->request_complete = o->fin;
 	lw_stream_add(s, l, o->stream);
 	s->job = lw_gate_submit(l->mesh->gate, &s->as_sink, &ask, lw_meshframe_str(o->body), o->fin,
 				&why, &retry_after_ms);
@@ -306,7 +310,7 @@
 	}
 }
 
-/* lw_mesh_on_answer() - the head of an answer, with the first part of its body. */
+/* lw_mesh_on_answer() - receives the head of a response with the first part of its body. */
 void lw_mesh_on_answer(lw_link_t *l, const Lw__Answer *w)
 {
 	lw_stream_t *s = stream_find(l, w->stream);
@@ -315,7 +319,7 @@
 	lw_load_t load;
 
 	lw_meshframe_read_load(w->load, &load);
-	lw_mesh_take_levels(l, w->load);
+	lw_mesh_read_levels(l, w->load);
 	if (w->load)
 		l->peer_version = w->load->config_version;
 	if (!s || s->job || !s->call.sink)
@@ -326,7 +330,7 @@
 	sink->ops->answer(sink, &a, lw_meshframe_str(w->body), w->fin, &load);
 }
 
-/* lw_mesh_on_data() - a part of a body, of a request or of an answer. */
+/* lw_mesh_on_data() - receives a part of the body of a request or response. */
 void lw_mesh_on_data(lw_link_t *l, const Lw__Data *d)
 {
 	lw_stream_t *s = stream_find(l, d->stream);
@@ -336,7 +340,7 @@
 	if (!s)
 		return;
 	if (s->job) {
-		s->request_whole |= d->fin;
+		s->request_complete |= d->fin;
 		s->job->ops->body(s->job, data, d->fin);
 		return;
 	}
@@ -347,7 +351,7 @@
 		sink->ops->data(sink, data, d->fin);
 }
 
-/* lw_mesh_on_credit() - the other side took a part of a body. */
+/* lw_mesh_on_credit() - the peer consumed a part of a body. */
 void lw_mesh_on_credit(lw_link_t *l, const Lw__Credit *c)
 {
 	lw_stream_t *s = stream_find(l, c->stream);
@@ -360,7 +364,7 @@
 		s->call.sink->ops->credit(s->call.sink, c->bytes);
 }
 
-/* lw_mesh_on_cancel() - the sender gave the request up. */
+/* lw_mesh_on_cancel() - the sender cancelled the request. */
 void lw_mesh_on_cancel(lw_link_t *l, const Lw__Cancel *c)
 {
 	lw_stream_t *s = stream_find(l, c->stream);
@@ -371,7 +375,7 @@
 	lw_stream_free(s);
 }
 
-/* lw_mesh_on_failed() - a request ended without an answer. */
+/* lw_mesh_on_failed() - a request ended without a response. */
 void lw_mesh_on_failed(lw_link_t *l, const Lw__Failed *w)
 {
 	lw_stream_t *s = stream_find(l, w->stream);
@@ -379,7 +383,7 @@
 	lw_load_t load;
 
 	lw_meshframe_read_load(w->load, &load);
-	lw_mesh_take_levels(l, w->load);
+	lw_mesh_read_levels(l, w->load);
 	if (!s || s->job || !s->call.sink)
 		return;
 	sink = s->call.sink;
@@ -389,11 +393,11 @@
 }
 
 /*
- * lw_mesh_call() - send a request to @node; @sink hears its outcome. NULL if
- * no connection can even be begun.
+ * lw_mesh_call() - sends a request to @node; @sink receives its outcome. Returns NULL if no
+ * connection attempt can be started.
  */
-lw_call_t *lw_mesh_call(lw_mesh_t *m, const char *node, lw_sink_t *sink, const lw_ask_t *ask,
-			lw_str_t body, bool fin)
+lw_call_t *lw_mesh_call(lw_mesh_t *m, const char *node, lw_sink_t *sink,
+			const lw_call_request_t *ask, lw_str_t body, bool fin)
 {
 	lw_link_t *l = lw_link_to(m, node);
 	Lw__Open o = LW__OPEN__INIT;
@@ -406,10 +410,10 @@
 	s = xcalloc(1, sizeof(*s));
 	s->call.ops = &call_ops;
 	s->call.sink = sink;
-	s->open_at = l->queued_total;
+	s->open_offset = l->queued_total;
 	lw_stream_add(s, l, l->next_id++);
-	if (!ev_is_active(&m->watch))
-		ev_timer_again(m->hub->loop, &m->watch);
+	if (!ev_is_active(&m->watch_timer))
+		ev_timer_again(m->evloop->loop, &m->watch_timer);
 	o.stream = s->id;
 	o.deadline_ms = ask->deadline_ms;
 	o.queue_ms = ask->queue_ms;
--- /dev/null
+++ b/src/meshclosed.c
@@ -0,0 +1,56 @@
+/* Closed connections of other nodes; see meshclosed.h. */
+#include "meshclosed.h"
+
+#include <stddef.h>
+
+/* maximum age of a closed connection whose requests may still be queried, us */
+#define QUERY_MAX_AGE_US 60000000
+
+static lw_closed_link_t *find(const lw_meshclosed_t *p, uint64_t name)
+{
+	uint32_t n = p->count < LW_MESHCLOSED_MAX ? p->count : LW_MESHCLOSED_MAX;
+
+	for (uint32_t i = 0; i < n; i++)
+		if (p->links[i].name == name)
+			return (lw_closed_link_t *)&p->links[i];
+	return NULL;
+}
+
+/*
+ * lw_meshclosed_add() - records that connection @name delivers nothing more. All stream ids
+ * received on it are below @opened. @now_us: monotonic time.
+ */
+void lw_meshclosed_add(lw_meshclosed_t *p, uint64_t name, uint32_t opened, uint64_t now_us)
+{
+	lw_closed_link_t *at = find(p, name);
+
+	if (!name)
+		return;
+	if (!at) {
+		at = &p->links[p->count++ % LW_MESHCLOSED_MAX];
+		if (at->name)
+			p->evicted_us = at->closed_us;
+	}
+	*at = (lw_closed_link_t){ .name = name, .closed_us = now_us, .opened = opened };
+}
+
+/* lw_meshclosed_has() - returns true if requests on connection @name are no longer accepted. */
+bool lw_meshclosed_has(const lw_meshclosed_t *p, uint64_t name)
+{
+	return name && find(p, name);
+}
+
+/*
+ * lw_meshclosed_never_received() - returns true if request @id of connection @name, which
+ * is not open now, never reached this process. A request of a connection that may have been
+ * evicted may have been executed.
+ */
+bool lw_meshclosed_never_received(const lw_meshclosed_t *p, uint64_t name, uint32_t id,
+				  uint64_t now_us)
+{
+	const lw_closed_link_t *at = find(p, name);
+
+	if (at)
+		return id >= at->opened;
+	return !p->evicted_us || now_us - p->evicted_us > QUERY_MAX_AGE_US;
+}
--- a/src/meshquota.c
+++ b/src/meshquota.c
@@ -1,45 +1,46 @@
-/* Reports to the keepers of limits, and their answers. */
+/* Usage reports to the quota coordinators, and their replies. */
 #include "mesh_int.h"
 
-/* entries that one frame may name: a frame may say anything */
-#define ENTRIES_MOST 4096
-/* demand is told in thousandths of a request a second, up to this */
-#define DEMAND_MOST (UINT32_MAX / 1000)
+/* limit for entries in one frame, whose count may be arbitrary */
+#define ENTRIES_MAX 4096
+/* maximum demand in requests a second; sent in thousandths */
+#define DEMAND_MAX (UINT32_MAX / 1000)
 
-/* the parts of the frame that is being sent or taken */
-static lw_quota_use_t uses_in[ENTRIES_MOST];
-static lw_quota_term_t terms_in[ENTRIES_MOST];
-static lw_quota_term_t terms_out[ENTRIES_MOST];
-static Lw__QuotaUse use_wire[ENTRIES_MOST];
-static Lw__QuotaUse *use_list[ENTRIES_MOST];
-static Lw__QuotaTerm term_wire[ENTRIES_MOST];
-static Lw__QuotaTerm *term_list[ENTRIES_MOST];
+/* buffers for the frame that is being encoded or processed */
+static lw_quota_usage_t uses_in[ENTRIES_MAX];
+static lw_quota_grant_t terms_in[ENTRIES_MAX];
+static lw_quota_grant_t terms_out[ENTRIES_MAX];
+static Lw__QuotaUse use_wire[ENTRIES_MAX];
+static Lw__QuotaUse *use_list[ENTRIES_MAX];
+static Lw__QuotaTerm term_wire[ENTRIES_MAX];
+static Lw__QuotaTerm *term_list[ENTRIES_MAX];
 
-static size_t bounded(size_t n)
+static size_t limit_entries(size_t n)
 {
-	return n < ENTRIES_MOST ? n : ENTRIES_MOST;
+	return n < ENTRIES_MAX ? n : ENTRIES_MAX;
 }
 
 static uint32_t demand_milli(double per_s)
 {
-	return per_s < DEMAND_MOST ? (uint32_t)(per_s * 1000 + 0.5) : UINT32_MAX;
+	return per_s < DEMAND_MAX ? (uint32_t)(per_s * 1000 + 0.5) : UINT32_MAX;
 }
 
 /*
- * lw_mesh_report_quota() - send @uses of this node, whose digest is @node, to the node
- * @keeper; false if there is no connection that it could go over now.
+ * lw_mesh_report_quota() - sends the usage report @uses of this node, whose digest is
+ * @node, to the quota coordinator at @coordinator. Returns false if there is no usable
+ * connection.
  */
-bool lw_mesh_report_quota(lw_mesh_t *m, const char *keeper, uint64_t node, uint32_t number,
-			  const lw_quota_use_t *uses, size_t n)
+bool lw_mesh_report_quota(lw_mesh_t *m, const char *coordinator, uint64_t node, uint32_t number,
+			  const lw_quota_usage_t *uses, size_t n)
 {
-	lw_link_t *l = lw_link_to(m, keeper);
+	lw_link_t *l = lw_link_to(m, coordinator);
 	Lw__QuotaReport w = LW__QUOTA_REPORT__INIT;
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
 
 	if (!l || !l->peer_incarnation)
 		return false;
 	w.uses = use_list;
-	w.n_uses = bounded(n);
+	w.n_uses = limit_entries(n);
 	w.number = number;
 	w.node = node;
 	for (size_t i = 0; i < w.n_uses; i++) {
@@ -55,7 +56,7 @@
 	return true;
 }
 
-static void send_terms(lw_link_t *l, uint32_t number, const lw_quota_term_t *terms, size_t n)
+static void send_terms(lw_link_t *l, uint32_t number, const lw_quota_grant_t *terms, size_t n)
 {
 	Lw__QuotaTerms w = LW__QUOTA_TERMS__INIT;
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
@@ -75,27 +76,30 @@
 	lw_link_send(l, &f);
 }
 
-/* lw_mesh_on_quota_report() - a node takes this one for a keeper of limits. */
+/*
+ * lw_mesh_on_quota_report() - another node reports its usage to this node as quota
+ * coordinator.
+ */
 void lw_mesh_on_quota_report(lw_link_t *l, const Lw__QuotaReport *w)
 {
 	lw_mesh_t *m = l->mesh;
-	size_t n = bounded(w->n_uses);
+	size_t n = limit_entries(w->n_uses);
 
 	for (size_t i = 0; i < n; i++)
-		uses_in[i] = (lw_quota_use_t){ w->uses[i]->org, w->uses[i]->asked,
-					       w->uses[i]->admitted };
-	n = m->ops->quota_report(m->ctx, w->node, uses_in, n, terms_out, ENTRIES_MOST);
+		uses_in[i] = (lw_quota_usage_t){ w->uses[i]->org, w->uses[i]->asked,
+						 w->uses[i]->admitted };
+	n = m->ops->quota_report(m->ctx, w->node, uses_in, n, terms_out, ENTRIES_MAX);
 	send_terms(l, w->number, terms_out, n);
 }
 
-/* lw_mesh_on_quota_terms() - a keeper answers. */
+/* lw_mesh_on_quota_terms() - a quota coordinator replied to a usage report. */
 void lw_mesh_on_quota_terms(lw_link_t *l, const Lw__QuotaTerms *w)
 {
 	lw_mesh_t *m = l->mesh;
-	size_t n = bounded(w->n_terms);
+	size_t n = limit_entries(w->n_terms);
 
 	for (size_t i = 0; i < n; i++)
-		terms_in[i] = (lw_quota_term_t){ w->terms[i]->org, w->terms[i]->admit_permille,
-						 w->terms[i]->demand_milli / 1000.0 };
+		terms_in[i] = (lw_quota_grant_t){ w->terms[i]->org, w->terms[i]->admit_permille,
+						  w->terms[i]->demand_milli / 1000.0 };
 	m->ops->quota_terms(m->ctx, l->node, w->number, terms_in, n);
 }
--- a/src/outbound.c
+++ b/src/outbound.c
@@ -1,6 +1,6 @@
 /*
- * The outbound path: calls of the local backend server to other services,
- * each attempt over a peer connection to the node the reducer chose.
+ * The outbound path: calls of the local backend server to other services. Each attempt goes
+ * over a peer connection to the node chosen by the reducer.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 #include "node_int.h"
 #include "xalloc.h"
 
-#define LOOKUP_MS 200 /* longest wait for one node's record of a key */
+#define LOOKUP_MS 200 /* timeout for querying one node's record of a key */
 
 static void fail_to_event(lw_pool_fail_t f, lw_event_t *ev)
 {
@@ -48,14 +48,14 @@
 	ev->retries_used = r->retries_used;
 }
 
-static lw_answer_t *take_body(ProtobufCBinaryData *body, uint32_t status, uint32_t retries_used)
+static lw_answer_t *copy_answer(ProtobufCBinaryData *body, uint32_t status, uint32_t retries_used)
 {
 	char *copy = xstrndup(body->data ? (const char *)body->data : "", body->len);
 
 	return lw_answer_new(1, (int)status, copy, body->len, retries_used);
 }
 
-/* one attempt of @rq at the peer the reducer chose; fills @ev */
+/* makes one attempt of @rq at the peer chosen by the reducer; fills @ev */
 static void attempt(lw_node_t *n, const lw_call_t *c, const lw_pool_call_t *to,
 		    const lw_request_t *rq, uint64_t deadline_at, lw_event_t *ev,
 		    lw_answer_t **answer)
@@ -93,8 +93,8 @@
 	lw_confwatch_peer_has(n, to->addr, reply->reply->config_version);
 	if (ev->outcome == LW_DONE) {
 		lw_answer_unref(*answer);
-		*answer = take_body(&reply->reply->body, reply->reply->status,
-				    reply->reply->retries_used);
+		*answer = copy_answer(&reply->reply->body, reply->reply->status,
+				      reply->reply->retries_used);
 	}
 	lw_frame_free(reply);
 }
@@ -111,7 +111,7 @@
 	ev->parent = rq->parent;
 }
 
-/* carry out the reducer's SEND effects until it answers; lock held */
+/* executes the reducer's SEND effects until it returns an answer; lock held */
 static void run_attempts(lw_node_t *n, lw_call_t *c, const lw_request_t *rq, uint64_t deadline_at,
 			 lw_answer_t **answer)
 {
@@ -134,8 +134,8 @@
 }
 
 /*
- * lw_outbound_serve() - call @service with @rq for the local backend server.
- * A done @res holds an answer reference.
+ * lw_outbound_serve() - calls @service with @rq for the local backend server. A @res with
+ * outcome done holds a reference to the answer.
  */
 void lw_outbound_serve(lw_node_t *n, const char *service, const lw_request_t *rq, lw_result_t *res)
 {
@@ -167,7 +167,8 @@
 	lw_counter_add(n->count.outbound[res->outcome], 1);
 }
 
-static bool ask_record(lw_node_t *n, const char *addr, const lw_request_t *rq, lw_answer_t **answer)
+static bool query_record(lw_node_t *n, const char *addr, const lw_request_t *rq,
+			 lw_answer_t **answer)
 {
 	Lw__Frame f = LW__FRAME__INIT;
 	Lw__Query q = LW__QUERY__INIT;
@@ -178,12 +179,12 @@
 	q.idempotency_key = (char *)rq->idem_key;
 	f.body_case = LW__FRAME__BODY_QUERY;
 	f.query = &q;
-	if (!lw_pool_ask(n->pool, addr, &f, LOOKUP_MS, true, &reply))
+	if (!lw_pool_request(n->pool, addr, &f, LOOKUP_MS, true, &reply))
 		return false;
 	found = reply->body_case == LW__FRAME__BODY_RECORD && reply->record->has_answer;
 	if (found)
-		*answer = take_body(&reply->record->body, reply->record->status,
-				    reply->record->retries_used);
+		*answer = copy_answer(&reply->record->body, reply->record->status,
+				      reply->record->retries_used);
 	lw_frame_free(reply);
 	return found;
 }
@@ -209,9 +210,9 @@
 }
 
 /*
- * lw_outbound_lookup() - ask the other nodes of this service for the stored
- * answer of @rq's idempotency key; true with a reference in *@answer.
- * Draining peers are asked too: they may be the ones that ran it.
+ * lw_outbound_lookup() - asks the other nodes of this service for the stored answer of
+ * @rq's idempotency key; true with a reference in *@answer. Draining peers are asked too,
+ * as they may have executed the request.
  */
 bool lw_outbound_lookup(lw_node_t *n, const lw_request_t *rq, lw_answer_t **answer)
 {
@@ -221,7 +222,7 @@
 	bool found = false;
 
 	for (size_t i = 0; i < count && !found && lw_now_ms() < until; i++)
-		found = ask_record(n, addrs[i], rq, answer);
+		found = query_record(n, addrs[i], rq, answer);
 	free(addrs);
 	return found;
 }
--- a/src/probe.c
+++ b/src/probe.c
@@ -4,9 +4,9 @@
 #include <stdio.h>
 #include <string.h>
 
-/* a check without an answer is given up, us; the next one begins anew */
-#define ANSWER_US 450000
-/* the path if the configuration names none */
+/* a check without an answer is abandoned after this, us; the next check then starts from scratch */
+#define ANSWER_TIMEOUT_US 450000
+/* path used if the configuration names none */
 #define PATH_DEFAULT "/health"
 
 static void on_written(void *user, size_t bytes)
@@ -16,22 +16,21 @@
 }
 
 /*
- * A check that was turned away unrun says nothing: the server is busy. Any
- * other answer than 200, or the id of another server, means that this one is
- * not to be used.
+ * A check that was rejected before execution has no result, as the server is only busy. Any status
+ * other than 200, or the id of another server, means that this server must not be used.
  */
 static bool on_head(void *user, const lw_httphead_t *h)
 {
 	lw_probe_t *p = user;
 	lw_str_t id = lw_httphead_find(h, LW_HEADER_INSTANCE);
-	lw_notice_said_t said = lw_httphead_notice(h);
+	lw_notice_fields_t said = lw_httphead_notice(h);
 
-	if (lw_str_eq_c(id, p->server_id) && p->heard)
-		p->heard(p->heard_ctx, &said, p->began_us);
-	if (lw_httphead_find(h, LW_HEADER_NOT_RUN).ptr)
+	if (lw_str_eq_c(id, p->server_id) && p->on_notice)
+		p->on_notice(p->on_notice_ctx, &said, p->began_us);
+	if (lw_httphead_find(h, LW_HEADER_NOT_EXECUTED).ptr)
 		return true;
 	if (h->status == 200 && lw_str_eq_c(id, p->server_id))
-		p->healthy_us = p->hub->now_us;
+		p->healthy_us = p->evloop->now_us;
 	else
 		p->leaving = true;
 	return true;
@@ -60,7 +59,9 @@
 
 	(void)sent;
 	p->conn = NULL;
-	/* a connection that was taken and reset says that the server has too many */
+	/*
+	 * an accepted connection that is reset only means that the server has too many connections
+	 */
 	if (refused)
 		p->leaving = true;
 }
@@ -73,46 +74,46 @@
 	.broken = on_broken,
 };
 
-/* lw_probe_init() - nothing is known of the server. */
-void lw_probe_init(lw_probe_t *p, lw_hub_t *hub)
+/* lw_probe_init() - initialise; nothing is known about the server yet. */
+void lw_probe_init(lw_probe_t *p, lw_evloop_t *evloop)
 {
 	memset(p, 0, sizeof(*p));
-	p->hub = hub;
+	p->evloop = evloop;
 }
 
-static void give_up(lw_probe_t *p)
+static void abort_check(lw_probe_t *p)
 {
 	if (p->conn)
 		lw_bconn_close(p->conn);
 	p->conn = NULL;
 }
 
-/* lw_probe_reset() - forget what was learned; from now on @server_id must answer. */
+/* lw_probe_reset() - discard all results; from now on @server_id is expected to answer. */
 void lw_probe_reset(lw_probe_t *p, const char *server_id)
 {
-	give_up(p);
+	abort_check(p);
 	p->healthy_us = 0;
 	p->leaving = false;
 	lw_str_copy(p->server_id, sizeof(p->server_id), lw_str_c(server_id));
 }
 
-/* lw_probe_check() - ask the server for its health at @path, unless it is being asked. */
+/* lw_probe_check() - start a health check at @path, unless one is in progress. */
 void lw_probe_check(lw_probe_t *p, const char *path)
 {
 	char head[2 * LW_NAME_MAX + 64];
 	int n;
 
-	if (p->conn && p->hub->now_us - p->began_us < ANSWER_US)
+	if (p->conn && p->evloop->now_us - p->began_us < ANSWER_TIMEOUT_US)
 		return;
-	give_up(p);
-	p->began_us = p->hub->now_us;
-	p->conn = lw_bconn_open(p->hub, p->hub->set->backend);
+	abort_check(p);
+	p->began_us = p->evloop->now_us;
+	p->conn = lw_bconn_open(p->evloop, p->evloop->set->backend);
 	if (!p->conn) {
 		p->leaving = true;
 		return;
 	}
 	n = snprintf(head, sizeof(head), "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n",
-		     path[0] ? path : PATH_DEFAULT, p->hub->set->backend);
+		     path[0] ? path : PATH_DEFAULT, p->evloop->set->backend);
 	lw_bconn_start(p->conn, &conn_ops, p, false);
 	lw_bconn_queue(p->conn, (lw_str_t){ head, (size_t)n });
 	lw_bconn_flush(p->conn);
--- a/src/proxy.c
+++ b/src/proxy.c
@@ -1,4 +1,4 @@
-/* The proxy as a whole; see proxy.h. */
+/* The proxy process; see proxy.h. */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
@@ -10,16 +10,19 @@
 #include "proxystats.h"
 #include "proxystatus.h"
 
-/* SIGHUP: the terms may have changed; addresses stay as they are until a restart */
+/*
+ * SIGHUP reloads the drain, grace, retry, quota and log settings; all others
+ * change only at a restart.
+ */
 static void on_hangup(struct ev_loop *loop, ev_signal *w, int revents)
 {
 	lw_proxy_t *p = w->data;
-	lw_proxyset_t fresh;
+	lw_proxy_settings_t fresh;
 
 	(void)loop;
 	(void)revents;
-	lw_proxyset_defaults(&fresh);
-	if (lw_proxyset_load(p->path, &fresh)) {
+	lw_proxy_settings_defaults(&fresh);
+	if (lw_proxy_settings_load(p->path, &fresh)) {
 		lw_log(LW_LOG_settings_invalid, "signal=1 kept=old why=\"%s\"", lw_error_last());
 		return;
 	}
@@ -30,11 +33,11 @@
 	p->set->retry_window_s = fresh.retry_window_s;
 	p->set->log_request_lines = fresh.log_request_lines;
 	lw_log_limit(p->set->log_request_lines);
-	p->engine.place.terms = lw_proxyset_retryterms(p->set);
+	p->engine.place.terms = lw_proxy_settings_retryterms(p->set);
 	p->set->quota_window_s = fresh.quota_window_s;
 	p->set->quota_overage = fresh.quota_overage;
 	p->set->quota_slack = fresh.quota_slack;
-	lw_proxy_quota_terms(p);
+	lw_proxy_quota_update_settings(p);
 	lw_log(LW_LOG_settings_reloaded, "signal=1 grace_s=%.1f retry_ratio=%.2f retry_extra=%.0f",
 	       p->set->grace_s, p->set->retry_ratio, p->set->retry_extra);
 }
@@ -46,7 +49,7 @@
 		.gate = p->engine.gate.stats,
 		.mesh = *lw_mesh_stats(p->engine.mesh),
 		.callers = *lw_callers_stats(p->callers),
-		.feed = p->feed.stats,
+		.store_reader = p->store_reader.stats,
 		.routes = &p->engine.routes,
 		.connections = lw_callers_count(p->callers),
 		.active = p->engine.active,
@@ -54,13 +57,13 @@
 		.servers = p->engine.place.nhosts,
 		.config_version = p->engine.conf ? p->engine.conf->version : 0,
 		.servers_revision = p->servers ? p->servers->revision : 0,
-		.news_age_ms = lw_proxy_news_age_ms(p),
+		.news_age_ms = lw_proxy_update_age_ms(p),
 		.log_dropped = lw_log_dropped(),
-		.longest_turn_us = p->hub.longest_turn_us,
+		.longest_iteration_us = p->evloop.longest_iteration_us,
 		.suspects = lw_quarantine_count(p->engine.quarantine),
-		.reader = lw_spread_reads(&p->spread),
-		.ready = p->engine.conf && p->engine.place.nhosts && !p->hub.leaving,
-		.leaving = p->hub.leaving,
+		.reader = lw_fanout_is_reader(&p->spread),
+		.ready = p->engine.conf && p->engine.place.nhosts && !p->evloop.leaving,
+		.leaving = p->evloop.leaving,
 	};
 
 	lw_gate_load(&p->engine.gate, &s.load);
@@ -74,16 +77,16 @@
 	lw_proxystatus_t s = {
 		.engine = &p->engine,
 		.servers_revision = p->servers ? p->servers->revision : 0,
-		.news_age_ms = lw_proxy_news_age_ms(p),
-		.ready = p->engine.conf && p->engine.place.nhosts && !p->hub.leaving,
-		.reader = lw_spread_reads(&p->spread),
-		.reads = p->reads,
+		.news_age_ms = lw_proxy_update_age_ms(p),
+		.ready = p->engine.conf && p->engine.place.nhosts && !p->evloop.leaving,
+		.reader = lw_fanout_is_reader(&p->spread),
+		.reads_store = p->reads_store,
 		.reads_why = p->reads_why,
-		.news_from = p->news_from,
+		.peer_read_from = p->peer_read_from,
 		.spread = &p->spread,
-		.quota_keeper = p->quota_keeper,
+		.quota_coordinator = p->quota_coordinator,
 		.mesh = lw_mesh_stats(p->engine.mesh),
-		.feed = &p->feed.stats,
+		.store_reader = &p->store_reader.stats,
 	};
 	size_t len = 0;
 	char *text = NULL;
@@ -91,24 +94,24 @@
 
 	lw_proxystatus_print(f, &s);
 	fclose(f);
-	lw_proxystats_put_status(text, len);
+	lw_proxystats_set_status(text, len);
 }
 
 static void on_tick(void *ctx)
 {
 	lw_proxy_t *p = ctx;
 
-	lw_proxy_contact_lost(p);
+	lw_proxy_reconnect_lost(p);
 	publish_stats(p);
 	if (lw_proxystats_status_wanted())
 		write_status(p);
 }
 
 /*
- * lw_proxy_mask_signals() - block or unblock the signals the loop handles;
- * @how is SIG_BLOCK or SIG_UNBLOCK. Blocked from the start of main() on, a
- * signal that comes before the loop runs stops it in order instead of killing
- * it, and threads begun meanwhile never take one.
+ * lw_proxy_mask_signals() - blocks or unblocks the signals that the event loop
+ * handles; @how is SIG_BLOCK or SIG_UNBLOCK. main() blocks them first of all: a
+ * signal that arrives before the event loop runs then stops the process in order
+ * instead of killing it, and threads started meanwhile never receive one.
  */
 void lw_proxy_mask_signals(int how)
 {
@@ -130,9 +133,9 @@
 	p->term.data = p;
 	p->interrupt.data = p;
 	p->hangup.data = p;
-	ev_signal_start(p->hub.loop, &p->term);
-	ev_signal_start(p->hub.loop, &p->interrupt);
-	ev_signal_start(p->hub.loop, &p->hangup);
+	ev_signal_start(p->evloop.loop, &p->term);
+	ev_signal_start(p->evloop.loop, &p->interrupt);
+	ev_signal_start(p->evloop.loop, &p->hangup);
 }
 
 static lw_status_t listen_all(lw_proxy_t *p)
@@ -152,10 +155,10 @@
 }
 
 /*
- * lw_proxy_run() - run until SIGTERM and the end of what was under way. Fails
- * only at the start, with the reason in lw_error_last().
+ * lw_proxy_run() - runs until SIGTERM and until the requests in progress have
+ * ended. Fails only during startup, with the reason in lw_error_last().
  */
-lw_status_t lw_proxy_run(lw_proxyset_t *set, const char *path, const lw_platform_t *platform)
+lw_status_t lw_proxy_run(lw_proxy_settings_t *set, const char *path, const lw_platform_t *platform)
 {
 	static lw_proxy_t proxy;
 	lw_proxy_t *p = &proxy;
@@ -164,25 +167,25 @@
 	p->set = set;
 	p->path = path;
 	p->platform = platform;
-	lw_hub_init(&p->hub, set, platform->names, lw_now_us() ^ (uint64_t)getpid() << 32);
-	p->engine.hub = &p->hub;
-	p->engine.list_is_old = lw_proxy_list_is_old;
-	p->engine.news_age_ms = lw_proxy_news_age_ms;
+	lw_evloop_init(&p->evloop, set, platform->names, lw_now_us() ^ (uint64_t)getpid() << 32);
+	p->engine.evloop = &p->evloop;
+	p->engine.on_stale_list = lw_proxy_refresh_list;
+	p->engine.news_age_ms = lw_proxy_update_age_ms;
 	p->engine.ctx = p;
 	lw_place_node_addr(p->mesh_addr, sizeof(p->mesh_addr), set->backend, set->mesh_port);
 	lw_proxy_lease_init(p);
 	lw_proxy_quota_init(p);
 	lw_place_init(&p->engine.place, set->zone, set->backend, set->mesh_port,
-		      lw_proxyset_retryterms(set));
+		      lw_proxy_settings_retryterms(set));
 	p->engine.quarantine = lw_quarantine_new();
-	lw_gate_init(&p->engine.gate, &p->hub, p->engine.quarantine);
+	lw_gate_init(&p->engine.gate, &p->evloop, p->engine.quarantine);
 	lw_proxy_notice_init(p);
 	lw_proxy_crash_init(p);
-	p->engine.hotpath = lw_hotpath_new();
-	p->engine.mesh = lw_mesh_new(&p->hub, &p->engine.gate, &lw_proxy_mesh_ops, p);
+	p->engine.overload = lw_overload_new();
+	p->engine.mesh = lw_mesh_new(&p->evloop, &p->engine.gate, &lw_proxy_mesh_ops, p);
 	p->callers = lw_callers_new(&p->engine);
 	watch_signals(p);
-	lw_hub_on_tick(&p->hub, on_tick, p);
+	lw_evloop_on_tick(&p->evloop, on_tick, p);
 	st = listen_all(p);
 	if (!st)
 		st = lw_proxy_start_feed(p);
@@ -191,7 +194,7 @@
 	lw_log(LW_LOG_started, "service=%s zone=%s callers=%s backend=%s", set->service, set->zone,
 	       set->callers, set->backend);
 	lw_proxy_mask_signals(SIG_UNBLOCK);
-	ev_run(p->hub.loop, 0);
+	ev_run(p->evloop.loop, 0);
 	lw_log(LW_LOG_stopped, "active=%u", p->engine.active);
 	lw_log_flush();
 	return LW_OK;
--- a/src/proxylease.c
+++ b/src/proxylease.c
@@ -1,24 +1,28 @@
 /*
- * The proxy's view of the lease of its backend server: lease.c decides, here
- * the evidence is gathered and what follows is done.
+ * Tracks the lease of the backend server on this host, whose entry in the store
+ * can be missing although the server is running. lease.c decides; this file
+ * gathers the evidence and acts on the decision.
  */
 #include "log.h"
 #include "proxy_int.h"
 
-/* while the entry is missing, evidence is looked at so often, in seconds */
+/* while the entry is missing, period of the checks of the evidence, in seconds */
 #define STEP_S 0.1
-/* the server is asked, and other nodes are told, so often, us */
-#define ROUND_US 500000
-/* and the store is read on for so long after the last step, us */
+/*
+ * period of health checks of the server and of liveness assertions to other
+ * nodes, us
+ */
+#define CHECK_INTERVAL_US 500000
+/* how long this node keeps reading the store after the last check, us */
 #define LEASE_READ_US 2500000
 
-static lw_lease_evidence_t evidence(const lw_proxy_t *p)
+static lw_lease_evidence_t gather_evidence(const lw_proxy_t *p)
 {
 	return (lw_lease_evidence_t){
-		.now_us = p->hub.now_us,
-		.read_us = lw_feed_last_read_us(&p->feed),
-		.failed_us = lw_feed_last_failure_us(&p->feed),
-		.pending = lw_feed_overdue(&p->feed, LW_LEASE_PENDING_US),
+		.now_us = p->evloop.now_us,
+		.store_read_us = lw_storereader_last_read_us(&p->store_reader),
+		.store_failed_us = lw_storereader_last_failure_us(&p->store_reader),
+		.pending = lw_storereader_call_overdue(&p->store_reader, LW_LEASE_PENDING_US),
 		.healthy_us = p->probe.healthy_us,
 		.leaving = p->probe.leaving || p->engine.gate.notice.leaving,
 	};
@@ -31,13 +35,19 @@
 	       p->engine.gate.server_id, lw_lease_state_name(p->lease.state),
 	       lw_lease_cause_name(p->lease.cause),
 	       (unsigned long long)((ev->now_us - p->lease.lapsed_us) / 1000),
-	       (unsigned long long)(ev->read_us ? (ev->now_us - ev->read_us) / 1000 : 0),
-	       (unsigned long long)(ev->failed_us ? (ev->now_us - ev->failed_us) / 1000 : 0),
+	       (unsigned long long)(ev->store_read_us ? (ev->now_us - ev->store_read_us) / 1000 :
+							0),
+	       (unsigned long long)(ev->store_failed_us ?
+					    (ev->now_us - ev->store_failed_us) / 1000 :
+					    0),
 	       (unsigned long long)(ev->healthy_us ? (ev->now_us - ev->healthy_us) / 1000 : 0),
 	       ev->leaving);
 }
 
-/* lw_proxy_health_path() - where the backend server here answers health checks; may be empty. */
+/*
+ * lw_proxy_health_path() - path of the health check of the backend server on this
+ * host; empty if it has none.
+ */
 const char *lw_proxy_health_path(const lw_proxy_t *p)
 {
 	const lw_fleet_service_t *s =
@@ -46,30 +56,33 @@
 	return s ? s->health : "";
 }
 
-static void ask_server(lw_proxy_t *p)
+static void check_health(lw_proxy_t *p)
 {
 	lw_probe_check(&p->probe, lw_proxy_health_path(p));
 }
 
-/* the store is read by this node itself as long as the entry is missing */
+/* This node reads the store itself as long as the entry is missing. */
 static void read_store(lw_proxy_t *p)
 {
-	lw_proxy_read_for(p, LEASE_READ_US, LW_FEED_LEASE);
+	lw_proxy_read_store_for(p, LEASE_READ_US, LW_STOREREADER_LEASE);
 }
 
-/* the other nodes, and this one's own placement, are told that the server lives */
-static void vouch(lw_proxy_t *p)
+/*
+ * Asserts to the other nodes and to this node's own placement that the server is
+ * alive.
+ */
+static void assert_liveness(lw_proxy_t *p)
 {
-	lw_place_vouched(&p->engine.place, p->mesh_addr, p->engine.gate.server_id, p->born_ms,
-			 p->hub.now_us);
-	lw_mesh_vouch(p->engine.mesh, p->engine.gate.server_id, p->born_ms);
-	lw_mesh_announce(p->engine.mesh);
+	lw_place_assert_alive(&p->engine.place, p->mesh_addr, p->engine.gate.server_id, p->born_ms,
+			      p->evloop.now_us);
+	lw_mesh_set_lapsed_server(p->engine.mesh, p->engine.gate.server_id, p->born_ms);
+	lw_mesh_broadcast_status(p->engine.mesh);
 }
 
 static void on_step(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_proxy_t *p = w->data;
-	lw_lease_evidence_t ev = evidence(p);
+	lw_lease_evidence_t ev = gather_evidence(p);
 	bool changed = lw_lease_step(&p->lease, &ev);
 
 	(void)revents;
@@ -77,56 +90,62 @@
 		log_change(p, &ev);
 		lw_gate_set_leaving(&p->engine.gate, !lw_lease_in_use(&p->lease));
 	}
-	if (p->lease.state == LW_LEASE_GONE && p->lease.left) {
+	if (p->lease.state == LW_LEASE_GONE && p->lease.server_left) {
 		ev_timer_stop(loop, w);
-		lw_mesh_vouch(p->engine.mesh, "", 0);
-		lw_mesh_announce(p->engine.mesh);
+		lw_mesh_set_lapsed_server(p->engine.mesh, "", 0);
+		lw_mesh_broadcast_status(p->engine.mesh);
 		return;
 	}
 	read_store(p);
-	if (!changed && p->hub.now_us - p->round_us < ROUND_US)
+	if (!changed && p->evloop.now_us - p->last_check_us < CHECK_INTERVAL_US)
 		return;
-	p->round_us = p->hub.now_us;
-	ask_server(p);
-	if (lw_lease_vouches(&p->lease, &ev))
-		vouch(p);
+	p->last_check_us = p->evloop.now_us;
+	check_health(p);
+	if (lw_lease_asserts_liveness(&p->lease, &ev))
+		assert_liveness(p);
 	else
-		lw_mesh_vouch(p->engine.mesh, "", 0);
+		lw_mesh_set_lapsed_server(p->engine.mesh, "", 0);
 }
 
-/* lw_proxy_lease_missing() - the entry of the backend server here is not in the newest list. */
-void lw_proxy_lease_missing(lw_proxy_t *p)
+/*
+ * lw_proxy_lease_entry_missing() - the newest list has no entry of the backend
+ * server on this host.
+ */
+void lw_proxy_lease_entry_missing(lw_proxy_t *p)
 {
 	if (p->lease.state != LW_LEASE_HELD)
 		return;
-	lw_lease_missing(&p->lease, p->hub.now_us);
+	lw_lease_entry_missing(&p->lease, p->evloop.now_us);
 	lw_probe_reset(&p->probe, p->engine.gate.server_id);
-	p->round_us = p->hub.now_us;
-	ask_server(p);
+	p->last_check_us = p->evloop.now_us;
+	check_health(p);
 	read_store(p);
-	lw_feed_hurry(&p->feed);
-	ev_timer_again(p->hub.loop, &p->lease_step);
+	lw_storereader_read_now(&p->store_reader);
+	ev_timer_again(p->evloop.loop, &p->lease_timer);
 }
 
-/* lw_proxy_lease_found() - it is in the list, as the process that started at @born_ms. */
-void lw_proxy_lease_found(lw_proxy_t *p, uint64_t born_ms)
+/*
+ * lw_proxy_lease_entry_found() - the newest list has the entry of the backend
+ * server on this host; its process started at @born_ms (Unix time in ms).
+ */
+void lw_proxy_lease_entry_found(lw_proxy_t *p, uint64_t born_ms)
 {
 	p->born_ms = born_ms;
 	if (p->lease.state == LW_LEASE_HELD)
 		return;
-	lw_lease_found(&p->lease);
+	lw_lease_entry_found(&p->lease);
 	lw_log(LW_LOG_lease_changed, "server=%s state=held by=list", p->engine.gate.server_id);
-	ev_timer_stop(p->hub.loop, &p->lease_step);
-	lw_mesh_vouch(p->engine.mesh, "", 0);
+	ev_timer_stop(p->evloop.loop, &p->lease_timer);
+	lw_mesh_set_lapsed_server(p->engine.mesh, "", 0);
 }
 
-/* lw_proxy_lease_init() - the lease is held until the list says otherwise. */
+/* lw_proxy_lease_init() - the lease is held until the entry is missing from a list. */
 void lw_proxy_lease_init(lw_proxy_t *p)
 {
-	lw_lease_found(&p->lease);
-	lw_probe_init(&p->probe, &p->hub);
-	p->probe.heard = lw_proxy_heard;
-	p->probe.heard_ctx = p;
-	ev_timer_init(&p->lease_step, on_step, 0, STEP_S);
-	p->lease_step.data = p;
+	lw_lease_entry_found(&p->lease);
+	lw_probe_init(&p->probe, &p->evloop);
+	p->probe.on_notice = lw_proxy_on_server_notice;
+	p->probe.on_notice_ctx = p;
+	ev_timer_init(&p->lease_timer, on_step, 0, STEP_S);
+	p->lease_timer.data = p;
 }
--- a/src/proxynews.c
+++ b/src/proxynews.c
@@ -1,6 +1,7 @@
 /*
- * What the proxy learns and passes on: configurations and lists of backend
- * servers, from the store or from other nodes, and who has to read the store.
+ * Receives configurations and lists of backend servers from the store or from
+ * other nodes, forwards updates to other nodes, and decides whether this node
+ * reads the store itself.
  */
 #include "linux/clock.h"
 #include "log.h"
@@ -8,48 +9,61 @@
 #include "meshframe.h"
 #include "storepos.h"
 
-/* the store is asked out of turn at most so often: its calls are few, us */
-#define HURRY_AGAIN_US 200000
-/* and read for so long then, us */
-#define HURRY_READ_US 300000
-/* a node that steps in for the readers goes on for so long, us */
+/*
+ * shortest interval between two urgent reads, which limits the calls to the
+ * store, us
+ */
+#define URGENT_READ_INTERVAL_US 200000
+/* how long the store is read after an urgent read, us */
+#define URGENT_READ_US 300000
+/* how long a node that substitutes for the readers goes on reading, us */
 #define SUBSTITUTE_READ_US 2500000
-/* news is passed on when it is so much newer than what was passed on last, us */
-#define PASS_ON_US 300000
-/* old news is asked for so often, us */
-#define ASK_AGAIN_US 100000
-/* the documents, as the mesh numbers them */
+/*
+ * an update is forwarded if the store read is newer by this than the last one
+ * forwarded, us
+ */
+#define FORWARD_INTERVAL_US 300000
+/* interval at which other nodes are asked while the last store update is too old, us */
+#define QUERY_INTERVAL_US 100000
+/* the documents, as numbered in mesh frames */
 #define DOCUMENT_CONFIG	 LW__DOCUMENT_KIND__DOCUMENT_CONFIG
 #define DOCUMENT_SERVERS LW__DOCUMENT_KIND__DOCUMENT_SERVERS
 /*
- * A server that left gets its last new work this much before its drain time
- * ends, in seconds: what waits in front of it must still reach it in time.
+ * A server that left gets its last new request this long before its drain time
+ * ends, in seconds: a request that waits in its queue must still reach it in
+ * time.
  */
 #define LAPSED_MARGIN_S 0.45
 
-/* lw_proxy_news_age_ms() - since the store was last read, here or by another node. */
-uint32_t lw_proxy_news_age_ms(void *ctx)
+/*
+ * lw_proxy_update_age_ms() - milliseconds since the store was last read, by this
+ * node or by another one.
+ */
+uint32_t lw_proxy_update_age_ms(void *ctx)
 {
 	const lw_proxy_t *p = ctx;
-	uint64_t age_us = lw_now_boot_us() - p->news_us;
+	uint64_t age_us = lw_now_boot_us() - p->store_read_us;
 
 	return age_us / 1000 < UINT32_MAX ? (uint32_t)(age_us / 1000) : UINT32_MAX;
 }
 
-/* tell the nodes that hear of news by this one */
-static void pass_on(lw_proxy_t *p)
+/* Forwards the update to this node's children in the fan-out tree. */
+static void forward_update(lw_proxy_t *p)
 {
 	char node[LW_NAME_MAX];
 
-	p->passed_us = p->news_us;
+	p->forwarded_us = p->store_read_us;
 	for (size_t i = 0; i < p->spread.nchildren; i++) {
 		lw_place_node_addr(node, sizeof(node), p->spread.child[i], p->set->mesh_port);
-		lw_mesh_tell(p->engine.mesh, node);
+		lw_mesh_send_state(p->engine.mesh, node);
 	}
 }
 
-/* keep the list as a document; false if it has the same servers as the one in use */
-static bool put_servers(lw_proxy_t *p, const lw_serverlist_t *sl)
+/*
+ * Keeps the list as a document to send to other nodes; returns false if it has
+ * the same servers as the list in use.
+ */
+static bool store_server_document(lw_proxy_t *p, const lw_serverlist_t *sl)
 {
 	lw_bytebuf_t bytes = { 0 };
 	bool changed;
@@ -74,21 +88,22 @@
 		      (lw_str_t){ fc->text, fc->textlen });
 	lw_log(LW_LOG_config_accepted, "version=%llu routes=%zu from=%s",
 	       (unsigned long long)fc->version, fc->nroutes, from);
-	lw_proxy_quota_config(p);
+	lw_proxy_quota_update_config(p);
 	lw_fleetconf_free(old);
-	pass_on(p);
+	forward_update(p);
 }
 
 /*
- * Until when an entry that is missing now may still be a lapsed one, us. It
- * was there when the store was last read; a server that left just after that
- * may have work until its drain time is over.
+ * Time until which an entry that is missing now may have expired although its
+ * server is running, us. The entry was present when the store was last read; a
+ * server that left just after that may receive requests until its drain time is
+ * over.
  */
 static uint64_t lapsed_until_us(const lw_proxy_t *p)
 {
 	double use_s = p->set->drain_s - LAPSED_MARGIN_S;
 
-	return use_s > 0 ? p->news_us + (uint64_t)(use_s * 1e6) : 0;
+	return use_s > 0 ? p->store_read_us + (uint64_t)(use_s * 1e6) : 0;
 }
 
 static void apply_servers(lw_proxy_t *p, lw_serverlist_t *sl, const char *from)
@@ -108,12 +123,12 @@
 		lw_serverlist_free(sl);
 		return;
 	}
-	if (!put_servers(p, sl)) {
+	if (!store_server_document(p, sl)) {
 		p->servers->revision = sl->revision;
 		lw_serverlist_free(sl);
 		return;
 	}
-	lw_place_update(&p->engine.place, sl, p->hub.now_us, lapsed_until_us(p));
+	lw_place_update(&p->engine.place, sl, p->evloop.now_us, lapsed_until_us(p));
 	self = lw_place_self(&p->engine.place, &known);
 	lw_log(LW_LOG_servers_changed,
 	       "servers=%zu era=%u revision=%llu from=%s self=%s draining=%d", sl->nservers,
@@ -122,18 +137,21 @@
 	       known && self->draining);
 	if (known) {
 		lw_gate_set_server(&p->engine.gate, self);
-		lw_proxy_lease_found(p, self->born_ms);
-	} else if (p->had_self && lw_gate_leaving(&p->engine.gate)) {
-		/* it drained before its entry went */
-	} else if (p->had_self) {
-		lw_proxy_lease_missing(p);
+		lw_proxy_lease_entry_found(p, self->born_ms);
+	} else if (p->server_was_listed && lw_gate_leaving(&p->engine.gate)) {
+		/*
+		 * the server drained before its entry was removed, so the lease
+		 * was not lost
+		 */
+	} else if (p->server_was_listed) {
+		lw_proxy_lease_entry_missing(p);
 	}
-	p->had_self |= known;
+	p->server_was_listed |= known;
 	lw_serverlist_free(p->servers);
 	p->servers = sl;
-	lw_spread_plan(sl, p->set->backend, p->set->zone, &p->spread);
-	lw_proxy_quota_servers(p, sl);
-	pass_on(p);
+	lw_fanout_plan(sl, p->set->backend, p->set->zone, &p->spread);
+	lw_proxy_quota_update_servers(p, sl);
+	forward_update(p);
 }
 
 static void update_ready(lw_proxy_t *p)
@@ -141,65 +159,74 @@
 	lw_callers_set_ready(p->callers, p->engine.conf && p->engine.place.nhosts);
 }
 
-/* this node reads the store itself from now on */
-static void begin_reading(lw_proxy_t *p, lw_feed_why_t why)
+/* Starts or continues to read the store, for the reason @why. */
+static void start_reading(lw_proxy_t *p, lw_storereader_reason_t why)
 {
-	if (p->servers && lw_feed_rests(&p->feed))
-		lw_mailbox_put(&p->feed.in_use, lw_serverlist_copy(p->servers));
-	lw_feed_want(&p->feed, why);
-	lw_feed_set_patient(&p->feed, why == LW_FEED_NEWS_OLD && p->servers &&
-					      !lw_spread_steps_in(&p->spread));
-	/* several reasons may hold at once: only a new one that outlasts the others is told */
-	if (p->reads && (p->reads_why == why || why != LW_FEED_READER))
+	if (p->servers && lw_storereader_is_idle(&p->store_reader))
+		lw_mailbox_put(&p->store_reader.in_use, lw_serverlist_copy(p->servers));
+	lw_storereader_start(&p->store_reader, why);
+	lw_storereader_set_deferring(&p->store_reader,
+				     why == LW_STOREREADER_STALE && p->servers &&
+					     !lw_fanout_is_reader_or_substitute(&p->spread));
+	/*
+	 * several reasons may apply at once: log only a new reason that outlasts
+	 * the others
+	 */
+	if (p->reads_store && (p->reads_why == why || why != LW_STOREREADER_ELECTED))
 		return;
-	p->reads = true;
+	p->reads_store = true;
 	p->reads_why = why;
 	lw_log(LW_LOG_store_reading, "why=%s news_age_ms=%u others_age_ms=%llu rank=%u",
-	       lw_feed_why_name(why), lw_proxy_news_age_ms(p),
-	       (unsigned long long)((p->hub.now_us - p->others_us) / 1000), p->spread.rank);
+	       lw_storereader_reason_name(why), lw_proxy_update_age_ms(p),
+	       (unsigned long long)((p->evloop.now_us - p->peer_read_us) / 1000), p->spread.rank);
 }
 
-static void end_reading(lw_proxy_t *p)
+static void stop_reading(lw_proxy_t *p)
 {
-	lw_feed_rest(&p->feed);
-	if (p->reads)
+	lw_storereader_stop(&p->store_reader);
+	if (p->reads_store)
 		lw_log(LW_LOG_store_reading, "why=none others_age_ms=%llu rank=%u",
-		       (unsigned long long)((p->hub.now_us - p->others_us) / 1000), p->spread.rank);
-	p->reads = false;
+		       (unsigned long long)((p->evloop.now_us - p->peer_read_us) / 1000),
+		       p->spread.rank);
+	p->reads_store = false;
 }
 
-/* lw_proxy_read_for() - this node reads the store itself for @us at least. */
-void lw_proxy_read_for(lw_proxy_t *p, uint64_t us, lw_feed_why_t why)
+/*
+ * lw_proxy_read_store_for() - this node reads the store itself for at least @us
+ * microseconds, for the reason @why.
+ */
+void lw_proxy_read_store_for(lw_proxy_t *p, uint64_t us, lw_storereader_reason_t why)
 {
-	if (p->read_until_us < p->hub.now_us + us)
-		p->read_until_us = p->hub.now_us + us;
-	begin_reading(p, why);
+	if (p->read_until_us < p->evloop.now_us + us)
+		p->read_until_us = p->evloop.now_us + us;
+	start_reading(p, why);
 }
 
 /*
- * A reader reads always, any other node while it hears of no read of others.
- * What it read itself does not count: it would stop, wait for others in vain,
- * and begin again.
+ * A reader always reads the store. Any other node reads only while it receives no
+ * reports of reads by other nodes. Its own reads do not count: the node would
+ * stop, wait in vain for reads by others, and start again.
  */
-static void decide_reading(lw_proxy_t *p)
+static void update_reading(lw_proxy_t *p)
 {
-	uint64_t now = p->hub.now_us;
-	bool old = now > p->others_us + (uint64_t)p->spread.patience_ms * 1000;
+	uint64_t now = p->evloop.now_us;
+	bool old = now > p->peer_read_us + (uint64_t)p->spread.read_after_ms * 1000;
 
-	if (lw_spread_reads(&p->spread))
-		begin_reading(p, LW_FEED_READER);
+	if (lw_fanout_is_reader(&p->spread))
+		start_reading(p, LW_STOREREADER_ELECTED);
 	else if (old)
-		lw_proxy_read_for(p, lw_spread_steps_in(&p->spread) ? SUBSTITUTE_READ_US : 0,
-				  LW_FEED_NEWS_OLD);
+		lw_proxy_read_store_for(
+			p, lw_fanout_is_reader_or_substitute(&p->spread) ? SUBSTITUTE_READ_US : 0,
+			LW_STOREREADER_STALE);
 	else if (p->servers && now >= p->read_until_us)
-		end_reading(p);
+		stop_reading(p);
 }
 
-static void on_fed(struct ev_loop *loop, ev_async *w, int revents)
+static void on_feed_wakeup(struct ev_loop *loop, ev_async *w, int revents)
 {
 	lw_proxy_t *p = w->data;
-	lw_fleetconf_t *fc = lw_mailbox_take(&p->feed.conf);
-	lw_serverlist_t *sl = lw_mailbox_take(&p->feed.servers);
+	lw_fleetconf_t *fc = lw_mailbox_take(&p->store_reader.conf);
+	lw_serverlist_t *sl = lw_mailbox_take(&p->store_reader.servers);
 
 	(void)loop;
 	(void)revents;
@@ -208,54 +235,55 @@
 	if (sl)
 		apply_servers(p, sl, "store");
 	update_ready(p);
-	if (lw_feed_last_read_us(&p->feed) > p->news_us) {
-		p->news_us = lw_feed_last_read_us(&p->feed);
-		pass_on(p);
+	if (lw_storereader_last_read_us(&p->store_reader) > p->store_read_us) {
+		p->store_read_us = lw_storereader_last_read_us(&p->store_reader);
+		forward_update(p);
 	}
-	decide_reading(p);
+	update_reading(p);
 }
 
-/* what the mesh asks and tells */
+/* callbacks of the mesh */
 
 static void mesh_load(void *ctx, const char *node, const lw_load_t *load)
 {
 	lw_proxy_t *p = ctx;
 
 	const lw_place_host_t *leaving =
-		lw_place_node_told(&p->engine.place, node, load, p->hub.now_us);
+		lw_place_node_load_reported(&p->engine.place, node, load, p->evloop.now_us);
 
 	if (leaving)
 		lw_log(LW_LOG_server_leaving, "server=%s by=node", leaving->id);
 }
 
-static void mesh_vouched(void *ctx, const char *node, const char *server, uint64_t born_ms)
+static void mesh_liveness_asserted(void *ctx, const char *node, const char *server,
+				   uint64_t born_ms)
 {
 	lw_proxy_t *p = ctx;
 
-	if (lw_place_vouched(&p->engine.place, node, server, born_ms, p->hub.now_us))
+	if (lw_place_assert_alive(&p->engine.place, node, server, born_ms, p->evloop.now_us))
 		lw_log(LW_LOG_server_vouched, "server=%s node=%s", server, node);
 }
 
-static uint32_t mesh_levels(void *ctx, lw_heard_t *out, uint32_t most)
+static uint32_t mesh_list_levels(void *ctx, lw_level_report_t *out, uint32_t most)
 {
 	const lw_proxy_t *p = ctx;
 
-	return lw_hotpath_tell(p->engine.hotpath, p->hub.now_us, out, most);
+	return lw_overload_report(p->engine.overload, p->evloop.now_us, out, most);
 }
 
-static void mesh_heard(void *ctx, const lw_heard_t *heard)
+static void mesh_level_received(void *ctx, const lw_level_report_t *heard)
 {
 	lw_proxy_t *p = ctx;
 
-	lw_hotpath_heard(p->engine.hotpath, heard, p->hub.now_us);
+	lw_overload_on_report(p->engine.overload, heard, p->evloop.now_us);
 }
 
-static void mesh_lost(void *ctx, const char *node, bool used)
+static void mesh_node_lost(void *ctx, const char *node, bool used)
 {
 	lw_proxy_t *p = ctx;
 
 	lw_log(LW_LOG_node_lost, "node=%s used=%d", node, used);
-	lw_place_node_lost(&p->engine.place, node, used, p->hub.now_us);
+	lw_place_node_lost(&p->engine.place, node, used, p->evloop.now_us);
 	lw_proxy_quota_node_lost(p, node);
 }
 
@@ -310,88 +338,89 @@
 	p->servers->revision = revision;
 }
 
-static void mesh_news(void *ctx, const char *node, uint64_t at_us)
+static void mesh_store_read(void *ctx, const char *node, uint64_t at_us)
 {
 	lw_proxy_t *p = ctx;
 
-	if (at_us > p->others_us) {
-		p->others_us = at_us;
-		lw_str_copy(p->news_from, sizeof(p->news_from), lw_str_c(node));
+	if (at_us > p->peer_read_us) {
+		p->peer_read_us = at_us;
+		lw_str_copy(p->peer_read_from, sizeof(p->peer_read_from), lw_str_c(node));
 	}
-	lw_feed_others_read(&p->feed, at_us);
-	if (at_us <= p->news_us)
+	lw_storereader_note_remote_read(&p->store_reader, at_us);
+	if (at_us <= p->store_read_us)
 		return;
-	p->news_us = at_us;
-	if (at_us - p->passed_us > PASS_ON_US)
-		pass_on(p);
+	p->store_read_us = at_us;
+	if (at_us - p->forwarded_us > FORWARD_INTERVAL_US)
+		forward_update(p);
 }
 
 const lw_mesh_ops_t lw_proxy_mesh_ops = {
 	.load = mesh_load,
-	.vouched = mesh_vouched,
-	.lost = mesh_lost,
-	.levels = mesh_levels,
-	.heard = mesh_heard,
+	.server_alive = mesh_liveness_asserted,
+	.node_lost = mesh_node_lost,
+	.known_levels = mesh_list_levels,
+	.level_received = mesh_level_received,
 	.config_version = mesh_config_version,
 	.document = mesh_document,
 	.config_received = mesh_config_received,
 	.servers = mesh_servers,
 	.servers_received = mesh_servers_received,
 	.servers_confirmed = mesh_servers_confirmed,
-	.news_age_ms = lw_proxy_news_age_ms,
-	.news = mesh_news,
-	.quota_report = lw_proxy_quota_report,
-	.quota_terms = lw_proxy_quota_told,
-	.suspect = lw_proxy_suspect,
-	.suspects = lw_proxy_suspects,
+	.news_age_ms = lw_proxy_update_age_ms,
+	.store_read = mesh_store_read,
+	.quota_report = lw_proxy_quota_on_report,
+	.quota_terms = lw_proxy_quota_on_reply,
+	.suspect_received = lw_proxy_merge_suspect,
+	.known_suspects = lw_proxy_list_suspects,
 };
 
 /*
- * lw_proxy_list_is_old() - A server has started anew and its old entry is all that is known. The next
- * look at the store would come 0.7 s later; after a power failure all calls to
- * the service failed until then.
+ * lw_proxy_refresh_list() - reads the store at once, as a backend server was
+ * restarted and only the entry of its previous process is known. The next regular
+ * read would come up to 0.7 s later; after a power failure all calls to the
+ * service failed until then.
  */
-void lw_proxy_list_is_old(void *ctx)
+void lw_proxy_refresh_list(void *ctx)
 {
 	lw_proxy_t *p = ctx;
 
-	if (p->hub.now_us - p->hurried_us < HURRY_AGAIN_US)
+	if (p->evloop.now_us - p->urgent_read_us < URGENT_READ_INTERVAL_US)
 		return;
-	p->hurried_us = p->hub.now_us;
-	lw_proxy_read_for(p, HURRY_READ_US, LW_FEED_SERVER_REPLACED);
-	lw_feed_hurry(&p->feed);
+	p->urgent_read_us = p->evloop.now_us;
+	lw_proxy_read_store_for(p, URGENT_READ_US, LW_STOREREADER_SERVER_REPLACED);
+	lw_storereader_read_now(&p->store_reader);
 }
 
-/* try to reach a node that was lost; its first status clears it */
-static void contact(void *ctx, const char *node)
+/* Tries to reach a lost node; the node is usable again after its first status frame. */
+static void reconnect(void *ctx, const char *node)
 {
 	lw_proxy_t *p = ctx;
 
-	lw_mesh_contact(p->engine.mesh, node);
+	lw_mesh_connect(p->engine.mesh, node);
 }
 
-/* lw_proxy_contact_lost() - try to reach the nodes that were lost. */
-void lw_proxy_contact_lost(lw_proxy_t *p)
+/* lw_proxy_reconnect_lost() - tries to reach the nodes that were lost. */
+void lw_proxy_reconnect_lost(lw_proxy_t *p)
 {
-	lw_place_each_lost(&p->engine.place, contact, p);
+	lw_place_each_suspect(&p->engine.place, reconnect, p);
 }
 
 /*
- * Looks when the news is old enough to be asked for, which it never gets while
- * the readers are heard.
+ * Asks other nodes for their last store read once the last report of one is too
+ * old, which does not happen while reports of the readers arrive.
  */
-static void on_news_due(struct ev_loop *loop, ev_timer *w, int revents)
+static void on_query_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_proxy_t *p = w->data;
-	uint64_t due = p->others_us + LW_NEWS_ASK_MS * 1000;
-	uint64_t left = due > p->hub.now_us ? due - p->hub.now_us : 0;
+	uint64_t due = p->peer_read_us + LW_FANOUT_ASK_MS * 1000;
+	uint64_t left = due > p->evloop.now_us ? due - p->evloop.now_us : 0;
 
 	(void)revents;
 	if (!left) {
-		lw_mesh_ask_news(p->engine.mesh, LW_NEWS_ASK_NODES);
-		left = ASK_AGAIN_US;
+		lw_mesh_request_status(p->engine.mesh, LW_FANOUT_ASK_NODES);
+		left = QUERY_INTERVAL_US;
 	}
-	decide_reading(p);
+	update_reading(p);
 	ev_timer_set(w, (double)left / 1e6, 0);
 	ev_timer_start(loop, w);
 }
@@ -406,23 +435,26 @@
 	lw_serverlist_free(sl);
 }
 
-/* lw_proxy_start_feed() - start the thread that reads the store. */
+/* lw_proxy_start_feed() - starts the thread that reads the store. */
 lw_status_t lw_proxy_start_feed(lw_proxy_t *p)
 {
-	ev_async_init(&p->fed, on_fed);
-	p->fed.data = p;
-	ev_async_start(p->hub.loop, &p->fed);
-	lw_feed_init(&p->feed, p->set);
-	p->others_us = p->hub.now_us;
-	lw_spread_plan(&(lw_serverlist_t){ 0 }, p->set->backend, p->set->zone, &p->spread);
-	p->reads = true;
-	p->reads_why = LW_FEED_START;
-	ev_timer_init(&p->news_due, on_news_due, LW_NEWS_ASK_MS / 1000.0, 0);
-	p->news_due.data = p;
-	ev_timer_start(p->hub.loop, &p->news_due);
-	p->feed.conf = (lw_mailbox_t){ .release = free_conf, .loop = p->hub.loop, .wake = &p->fed };
-	p->feed.in_use = (lw_mailbox_t){ .release = free_servers };
-	p->feed.servers =
-		(lw_mailbox_t){ .release = free_servers, .loop = p->hub.loop, .wake = &p->fed };
-	return p->platform->start_feed(&p->feed);
+	ev_async_init(&p->feed_wakeup, on_feed_wakeup);
+	p->feed_wakeup.data = p;
+	ev_async_start(p->evloop.loop, &p->feed_wakeup);
+	lw_storereader_init(&p->store_reader, p->set);
+	p->peer_read_us = p->evloop.now_us;
+	lw_fanout_plan(&(lw_serverlist_t){ 0 }, p->set->backend, p->set->zone, &p->spread);
+	p->reads_store = true;
+	p->reads_why = LW_STOREREADER_START;
+	ev_timer_init(&p->query_timer, on_query_timer, LW_FANOUT_ASK_MS / 1000.0, 0);
+	p->query_timer.data = p;
+	ev_timer_start(p->evloop.loop, &p->query_timer);
+	p->store_reader.conf = (lw_mailbox_t){ .release = free_conf,
+					       .loop = p->evloop.loop,
+					       .wake = &p->feed_wakeup };
+	p->store_reader.in_use = (lw_mailbox_t){ .release = free_servers };
+	p->store_reader.servers = (lw_mailbox_t){ .release = free_servers,
+						  .loop = p->evloop.loop,
+						  .wake = &p->feed_wakeup };
+	return p->platform->start_store_reader(&p->store_reader);
 }
--- a/src/proxynotice.c
+++ b/src/proxynotice.c
@@ -1,78 +1,94 @@
 /*
- * The proxy's view of what its backend server announces: other nodes and the log hear
- * of it, and a server that is asked for nothing is asked whether it still holds.
+ * Handles what the backend server on this host announces in response headers:
+ * reports it to other nodes and to the log, and checks the server's health when
+ * an announced limit has not been confirmed for a while.
  */
 #include "log.h"
 #include "proxy_int.h"
 
-/* a server that names a limit and has not been heard for so long is asked, us */
-#define UNHEARD_US 1500000
+/*
+ * a server that announced a limit is checked after this long without an answer
+ * from it, us
+ */
+#define LIMIT_STALE_US 1500000
 
-/* lw_proxy_announce() - what the server announces has changed: those that may send it requests hear now. */
+/*
+ * lw_proxy_announce() - reports a changed announcement of the server at once to
+ * the nodes that may send requests to it.
+ */
 void lw_proxy_announce(void *ctx)
 {
 	lw_proxy_t *p = ctx;
 
-	lw_mesh_announce(p->engine.mesh);
+	lw_mesh_broadcast_status(p->engine.mesh);
 }
 
-/* lw_proxy_heard() - the server has announced this in its answer to a health check. */
-void lw_proxy_heard(void *ctx, const lw_notice_said_t *said, uint64_t sent_us)
+/*
+ * lw_proxy_on_server_notice() - the server made the announcement @said in its
+ * answer to a health check that was sent at @sent_us.
+ */
+void lw_proxy_on_server_notice(void *ctx, const lw_notice_fields_t *said, uint64_t sent_us)
 {
 	lw_proxy_t *p = ctx;
 
-	lw_gate_heard(&p->engine.gate, said, sent_us);
+	lw_gate_on_notice(&p->engine.gate, said, sent_us);
 }
 
 static void log_limit(const lw_proxy_t *p)
 {
 	const lw_gate_t *g = &p->engine.gate;
-	const char *by = g->named.heard_us ? "answer" : "peer";
-	uint64_t age_ms = g->named.heard_us ? (p->hub.now_us - g->named.heard_us) / 1000 : 0;
+	const char *by = g->announced_limit.updated_us ? "answer" : "peer";
+	uint64_t age_ms = g->announced_limit.updated_us ?
+				  (p->evloop.now_us - g->announced_limit.updated_us) / 1000 :
+				  0;
 
-	if (g->named.on)
+	if (g->announced_limit.on)
 		lw_log(LW_LOG_server_limit, "server=%s limit_per_s=%.3f by=%s age_ms=%llu",
-		       g->server_id, g->named.per_s, by, (unsigned long long)age_ms);
+		       g->server_id, g->announced_limit.per_s, by, (unsigned long long)age_ms);
 	else
 		lw_log(LW_LOG_server_limit, "server=%s limit_per_s=none by=%s age_ms=%llu",
 		       g->server_id, by, (unsigned long long)age_ms);
 }
 
-/* a limit may change with each answer: lines and words to others are as many as ticks at most */
-static void tell_limit(lw_proxy_t *p)
+/*
+ * A limit may change with each answer: it is logged and reported at most once per
+ * tick.
+ */
+static void announce_limit(lw_proxy_t *p)
 {
-	const lw_notice_limit_t *named = &p->engine.gate.named;
+	const lw_notice_limit_t *named = &p->engine.gate.announced_limit;
 
-	if (named->on == p->told_limit.on && named->per_s == p->told_limit.per_s)
+	if (named->on == p->announced_limit.on && named->per_s == p->announced_limit.per_s)
 		return;
-	p->told_limit = *named;
+	p->announced_limit = *named;
 	log_limit(p);
 	lw_proxy_announce(p);
 }
 
-static void tell_invalid(lw_proxy_t *p)
+static void log_invalid_limits(lw_proxy_t *p)
 {
 	uint64_t answers = p->engine.gate.stats.invalid_limits;
 
-	if (answers == p->told_invalid)
+	if (answers == p->logged_invalid)
 		return;
 	lw_log(LW_LOG_limit_invalid, "server=%s answers=%llu", p->engine.gate.server_id,
-	       (unsigned long long)(answers - p->told_invalid));
-	p->told_invalid = answers;
+	       (unsigned long long)(answers - p->logged_invalid));
+	p->logged_invalid = answers;
 }
 
 /*
- * A limit that lets nothing in would hold for good, as only answers end it: requests
- * would be refused beside a server that is well again.
+ * A limit that admits no requests would last forever, as only answers of the
+ * server lift it: requests would be refused although the server has recovered. A
+ * health check gets an answer.
  */
-static void ask_if_unheard(lw_proxy_t *p)
+static void refresh_stale_limit(lw_proxy_t *p)
 {
-	const lw_notice_limit_t *named = &p->engine.gate.named;
+	const lw_notice_limit_t *named = &p->engine.gate.announced_limit;
 
-	if (!named->on || p->hub.now_us - named->heard_us < UNHEARD_US ||
-	    p->hub.now_us - p->limit_asked_us < UNHEARD_US)
+	if (!named->on || p->evloop.now_us - named->updated_us < LIMIT_STALE_US ||
+	    p->evloop.now_us - p->limit_probe_us < LIMIT_STALE_US)
 		return;
-	p->limit_asked_us = p->hub.now_us;
+	p->limit_probe_us = p->evloop.now_us;
 	lw_probe_reset(&p->limit_probe, p->engine.gate.server_id);
 	lw_probe_check(&p->limit_probe, lw_proxy_health_path(p));
 }
@@ -81,18 +97,18 @@
 {
 	lw_proxy_t *p = ctx;
 
-	tell_limit(p);
-	tell_invalid(p);
-	ask_if_unheard(p);
+	announce_limit(p);
+	log_invalid_limits(p);
+	refresh_stale_limit(p);
 }
 
-/* lw_proxy_notice_init() - once the gate stands. */
+/* lw_proxy_notice_init() - call after the gate has been initialised. */
 void lw_proxy_notice_init(lw_proxy_t *p)
 {
-	p->engine.gate.noticed = lw_proxy_announce;
-	p->engine.gate.noticed_ctx = p;
-	lw_probe_init(&p->limit_probe, &p->hub);
-	p->limit_probe.heard = lw_proxy_heard;
-	p->limit_probe.heard_ctx = p;
-	lw_hub_on_tick(&p->hub, on_tick, p);
+	p->engine.gate.on_notice_change = lw_proxy_announce;
+	p->engine.gate.on_notice_change_ctx = p;
+	lw_probe_init(&p->limit_probe, &p->evloop);
+	p->limit_probe.on_notice = lw_proxy_on_server_notice;
+	p->limit_probe.on_notice_ctx = p;
+	lw_evloop_on_tick(&p->evloop, on_tick, p);
 }
--- a/src/proxystatus.c
+++ b/src/proxystatus.c
@@ -7,9 +7,9 @@
 #include "level.h"
 #include "storepos.h"
 
-/* organisations shown by name */
+/* most organisations shown by name */
 #define ORGS_SHOWN 32
-/* requests shown that servers ended under */
+/* most suspect requests shown */
 #define SUSPECTS_SHOWN 32
 
 static const char *state_of(const lw_place_host_t *h, uint64_t now_us)
@@ -48,30 +48,33 @@
 
 static void print_services(FILE *f, const lw_engine_t *e)
 {
-	uint64_t now = e->hub->now_us;
+	uint64_t now = e->evloop->now_us;
 
 	for (const lw_place_service_t *s = e->place.services; s; s = s->next) {
 		uint32_t level = lw_place_level(s, now);
 
 		fprintf(f, "service %s: %s level=%u\n", s->name,
-			level < LW_LEVEL_OPEN ? "refuses some ranks" : "open", level);
+			level < LW_LEVEL_ADMIT_ALL ? "refuses some ranks" : "open", level);
 		for (const lw_place_host_t *h = s->hosts; h; h = h->next)
 			print_host(f, h, now);
 	}
 }
 
-/* where this node has its news from, to whom it passes it on, and what that costs */
-static void print_news(FILE *f, const lw_proxystatus_t *s)
+/*
+ * Prints where this node gets store updates from, to how many nodes it forwards
+ * them, and the cost.
+ */
+static void print_store_reading(FILE *f, const lw_proxystatus_t *s)
 {
 	uint64_t calls = 0;
 
-	for (int i = 0; i < LW_FEED_WHY_COUNT; i++)
-		calls += s->feed->calls[i];
+	for (int i = 0; i < LW_STOREREADER_REASON_COUNT; i++)
+		calls += s->store_reader->calls[i];
 	fprintf(f,
 		"news: age_ms=%u from=%s reads_store=%s rank=%u told_nodes=%zu store_calls=%" PRIu64
 		" control_bytes=%" PRIu64 "\n",
-		s->news_age_ms, s->news_from[0] ? s->news_from : "none",
-		s->reads ? lw_feed_why_name(s->reads_why) : "no", s->spread->rank,
+		s->news_age_ms, s->peer_read_from[0] ? s->peer_read_from : "none",
+		s->reads_store ? lw_storereader_reason_name(s->reads_why) : "no", s->spread->rank,
 		s->spread->nchildren, calls, lw_mesh_control_bytes(s->mesh));
 }
 
@@ -86,7 +89,7 @@
 		r->max_attempts);
 	for (size_t i = 0; i < r->nsplits; i++)
 		fprintf(f, " %s:%u", r->splits[i].service, r->splits[i].weight);
-	fprintf(f, " calls_below=%u\n", lw_hotpath_depth(e->hotpath, r->name));
+	fprintf(f, " calls_below=%u\n", lw_overload_call_depth(e->overload, r->name));
 }
 
 static void print_suspects(FILE *f, const lw_engine_t *e)
@@ -96,8 +99,8 @@
 
 	for (size_t i = 0; i < n; i++)
 		fprintf(f, "suspect: print=%016" PRIx64 " ends=%u trials=%u held_ms=%u\n",
-			list[i]->print.whole, list[i]->nends, list[i]->trials,
-			lw_quarantine_held_ms(e->quarantine, &list[i]->print, e->hub->now_us));
+			list[i]->print.whole, list[i]->ncrashes, list[i]->trials,
+			lw_quarantine_held_ms(e->quarantine, &list[i]->print, e->evloop->now_us));
 }
 
 static void print_organisations(FILE *f, const lw_proxystatus_t *s)
@@ -109,9 +112,9 @@
 	if (!e->conf || !e->conf->orgs)
 		return;
 	fprintf(f, "limits: organisations=%zu alone=%d keepers=%s,%s\n",
-		lw_orgs_count(e->conf->orgs), lw_quota_alone(e->quota, e->hub->now_us),
-		s->quota_keeper[0][0] ? s->quota_keeper[0] : "none",
-		s->quota_keeper[1][0] ? s->quota_keeper[1] : "none");
+		lw_orgs_count(e->conf->orgs), lw_quota_is_standalone(e->quota, e->evloop->now_us),
+		s->quota_coordinator[0][0] ? s->quota_coordinator[0] : "none",
+		s->quota_coordinator[1][0] ? s->quota_coordinator[1] : "none");
 	for (size_t i = 0; i < n; i++)
 		fprintf(f,
 			"organisation %s: limit_per_s=%.0f asked=%" PRIu64 " over_limit=%" PRIu64
@@ -122,7 +125,7 @@
 		others.asked, others.refused);
 }
 
-/* lw_proxystatus_print() - one item a line, key=value fields. */
+/* lw_proxystatus_print() - prints one item per line, as key=value fields. */
 void lw_proxystatus_print(FILE *f, const lw_proxystatus_t *s)
 {
 	const lw_engine_t *e = s->engine;
@@ -132,15 +135,15 @@
 	fprintf(f,
 		"node: service=%s zone=%s ready=%d stopping=%d active=%u config=%" PRIu64
 		" store_era=%u servers_revision=%" PRIu64 " news_age_ms=%u reads_store=%d\n",
-		e->hub->set->service, e->hub->set->zone, s->ready, e->hub->leaving, e->active,
-		e->conf ? e->conf->version : 0, lw_storepos_era(s->servers_revision),
+		e->evloop->set->service, e->evloop->set->zone, s->ready, e->evloop->leaving,
+		e->active, e->conf ? e->conf->version : 0, lw_storepos_era(s->servers_revision),
 		lw_storepos_revision(s->servers_revision), s->news_age_ms, s->reader);
 	fprintf(f,
 		"backend: id=%s leaving=%d running=%u queued=%u limit=%u service_ms=%u level=%u "
 		"failing_permille=%u\n",
 		e->gate.server_id, lw_gate_leaving(&e->gate), own.running, own.queued, own.limit,
 		own.service_us / 1000, own.level, own.failing);
-	print_news(f, s);
+	print_store_reading(f, s);
 	print_suspects(f, e);
 	print_organisations(f, s);
 	print_services(f, e);
--- a/src/proxystop.c
+++ b/src/proxystop.c
@@ -1,12 +1,16 @@
-/* The stop of the proxy: what stopplan.c decides is done here. */
+/*
+ * Carries out the graceful stop of the proxy after SIGTERM; stopplan.c decides
+ * the steps.
+ */
 #include "log.h"
 #include "proxy_int.h"
 #include "stopplan.h"
 
 /*
- * Age of the oldest request under way, of callers or of other nodes; 0: there
- * is none. One whose answer is here is under way until its sender has taken it:
- * an exit would cut off up to a window of it.
+ * Age in microseconds of the oldest request in progress, of callers or of other
+ * nodes; 0 if there is none. A request whose answer has arrived stays in progress
+ * until its sender has received the answer: an exit would truncate up to a window
+ * of it.
  */
 static uint64_t oldest_request_us(const lw_proxy_t *p)
 {
@@ -14,11 +18,12 @@
 	uint64_t ours = lw_engine_oldest_us(&p->engine);
 
 	if (!ours && !theirs)
-		return lw_callers_unwritten(p->callers) || lw_mesh_unwritten(p->engine.mesh);
+		return lw_callers_unwritten(p->callers) ||
+		       lw_mesh_has_unwritten_answers(p->engine.mesh);
 	return ours > theirs ? ours : theirs;
 }
 
-/* what the node still has, for the lines about a stop */
+/* Logs a step of the stop with the work that is left. */
 static void log_step(const lw_proxy_t *p, const char *step, const lw_stopstate_t *state)
 {
 	lw_log(LW_LOG_stop_step,
@@ -29,69 +34,73 @@
 }
 
 /*
- * Answer what is given up and close everything, in the step that decides it: the
- * loop still acts on what has arrived in this turn, and a request taken then
- * would be passed on with nobody left to wait for its answer.
+ * Answers the requests that are given up and closes all connections, in the step
+ * that decides to exit: the event loop still handles what has arrived in this
+ * iteration, and a request accepted then would be forwarded with nobody left to
+ * wait for its answer.
  */
-static void leave(lw_proxy_t *p)
+static void close_everything(lw_proxy_t *p)
 {
-	lw_engine_end_all(&p->engine);
-	lw_callers_end(p->callers);
-	lw_mesh_end(p->engine.mesh);
+	lw_engine_finish_all(&p->engine);
+	lw_callers_close_all(p->callers);
+	lw_mesh_close_all(p->engine.mesh);
 }
 
-/* the next steps of a stop */
-static void go_on_stopping(struct ev_loop *loop, ev_timer *w, int revents)
+/* Timer callback: takes the next steps of the stop. */
+static void on_stop_step(struct ev_loop *loop, ev_timer *w, int revents)
 {
 	lw_proxy_t *p = w->data;
 	lw_stopstate_t state = {
-		.since_us = p->hub.now_us - p->leaving_us,
+		.since_us = p->evloop.now_us - p->stop_began_us,
 		.grace_us = p->stop_grace_us,
 		.oldest_us = oldest_request_us(p),
-		.refusing_us = p->refusing_us ? p->hub.now_us - p->refusing_us : 0,
-		.at_work = p->engine.gate.ncalls || !p->engine.gate.refusing,
+		.refusing_us = p->refusing_us ? p->evloop.now_us - p->refusing_us : 0,
+		.at_work = p->engine.gate.ncalls || !p->engine.gate.exiting,
 	};
 	lw_stopplan_t plan = lw_stopplan(&state);
 
 	(void)revents;
-	if (plan.tell_peers && !p->hub.peers_told) {
+	if (plan.tell_peers && !p->evloop.peers_notified) {
 		log_step(p, "peers_told", &state);
-		p->hub.peers_told = true;
-		lw_mesh_announce(p->engine.mesh);
+		p->evloop.peers_notified = true;
+		lw_mesh_broadcast_status(p->engine.mesh);
 	}
 	if (plan.close_idle)
 		lw_callers_close_idle(p->callers);
-	if (plan.refuse && !p->engine.gate.refusing) {
+	if (plan.refuse && !p->engine.gate.exiting) {
 		log_step(p, "refusing", &state);
-		lw_gate_refuse(&p->engine.gate);
-		p->refusing_us = p->hub.now_us;
-		lw_mesh_announce(p->engine.mesh);
+		lw_gate_stop_admitting(&p->engine.gate);
+		p->refusing_us = p->evloop.now_us;
+		lw_mesh_broadcast_status(p->engine.mesh);
 	}
-	p->hub.callers_refused = plan.refuse_callers;
+	p->evloop.callers_refused = plan.refuse_callers;
 	if (plan.close_listeners)
 		lw_callers_close_listeners(p->callers);
 	if (plan.exit) {
 		log_step(p, state.oldest_us ? "exit_cutting_off" : "exit", &state);
-		leave(p);
+		close_everything(p);
 		ev_break(loop, EVBREAK_ALL);
 	}
 }
 
-/* lw_proxy_on_term() - SIGTERM: callers are told not to come; the rest follows by stopplan.c. */
+/*
+ * lw_proxy_on_term() - handles SIGTERM and SIGINT: callers are told that the node
+ * is stopping, and the further steps follow stopplan.c.
+ */
 void lw_proxy_on_term(struct ev_loop *loop, ev_signal *w, int revents)
 {
 	lw_proxy_t *p = w->data;
 
 	(void)revents;
-	if (p->hub.leaving)
+	if (p->evloop.leaving)
 		return;
 	lw_log(LW_LOG_stopping, "signal=%d active=%u running=%u", w->signum, p->engine.active,
 	       p->engine.gate.ncalls);
-	p->hub.leaving = true;
-	p->leaving_us = p->hub.now_us;
+	p->evloop.leaving = true;
+	p->stop_began_us = p->evloop.now_us;
 	p->stop_grace_us = (uint64_t)(p->set->grace_s * 1e6);
-	p->hub.exit_us = p->leaving_us + lw_stopplan_exit_us(p->stop_grace_us);
-	ev_timer_init(&p->stopping, go_on_stopping, LW_STOPPLAN_STEP_S, LW_STOPPLAN_STEP_S);
-	p->stopping.data = p;
-	ev_timer_start(loop, &p->stopping);
+	p->evloop.exit_us = p->stop_began_us + lw_stopplan_exit_us(p->stop_grace_us);
+	ev_timer_init(&p->stop_timer, on_stop_step, LW_STOPPLAN_STEP_S, LW_STOPPLAN_STEP_S);
+	p->stop_timer.data = p;
+	ev_timer_start(loop, &p->stop_timer);
 }
--- a/src/quotachoice.c
+++ b/src/quotachoice.c
@@ -1,13 +1,13 @@
-/* Which nodes keep the limits; see quotachoice.h. */
+/* Selection of the quota coordinators; see quotachoice.h. */
 #include "quotachoice.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/* keepers are drawn by a hash of their own, so that they are hardly those that read the store */
+/* a separate hash seed, so that the coordinators are rarely the nodes that read the store */
 #define CHOICE_SEED 0x71756f7461ull
 
-/* whether @a comes before @b in the order in which nodes become keepers */
+/* whether @a precedes @b in the order in which nodes become coordinators */
 static bool before(const lw_server_entry_t *a, const lw_server_entry_t *b)
 {
 	uint64_t x = XXH3_64bits_withSeed(a->addr, strlen(a->addr), CHOICE_SEED);
@@ -16,9 +16,9 @@
 	return x != y ? x > y : strcmp(a->addr, b->addr) < 0;
 }
 
-/* the first node of those that stay; not in the zone of @other, if there are others */
-static const lw_server_entry_t *first_beside(const lw_serverlist_t *sl,
-					     const lw_server_entry_t *other, bool other_zone)
+/* the first candidate that is not draining and not @other, nor in its zone if @other_zone */
+static const lw_server_entry_t *best_candidate(const lw_serverlist_t *sl,
+					       const lw_server_entry_t *other, bool other_zone)
 {
 	const lw_server_entry_t *best = NULL;
 
@@ -36,16 +36,17 @@
 }
 
 /*
- * lw_quotachoice() - the addresses of the backend servers beside which the
- * keepers run, LW_QUOTA_KEEPERS at most, in different zones if there are.
+ * lw_quotachoice_coordinators() - the addresses of the backend servers on whose hosts the
+ * coordinators run: at most LW_QUOTA_COORDINATORS, in different zones if possible. Returns
+ * their number.
  */
-uint32_t lw_quotachoice(const lw_serverlist_t *sl, char out[][LW_NAME_MAX])
+uint32_t lw_quotachoice_coordinators(const lw_serverlist_t *sl, char out[][LW_NAME_MAX])
 {
-	const lw_server_entry_t *first = first_beside(sl, NULL, false);
-	const lw_server_entry_t *second = first ? first_beside(sl, first, true) : NULL;
+	const lw_server_entry_t *first = best_candidate(sl, NULL, false);
+	const lw_server_entry_t *second = first ? best_candidate(sl, first, true) : NULL;
 
 	if (first && !second)
-		second = first_beside(sl, first, false);
+		second = best_candidate(sl, first, false);
 	if (first)
 		lw_str_copy(out[0], LW_NAME_MAX, lw_str_c(first->addr));
 	if (second)
--- /dev/null
+++ b/src/quotacoord.c
@@ -0,0 +1,361 @@
+/* Quota coordinator; see quotacoord.h. */
+#include "quotacoord.h"
+
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+#include <uthash.h>
+
+#include "quotabucket.h"
+#include "xalloc.h"
+
+/* a node that has not reported for this long may be standalone, us */
+#define SILENT_US 600000
+/* after this time without a report, nothing stays reserved for a node, us */
+#define FORGET_US 10000000
+/* interval at which the reserved shares are added up, us */
+#define RESERVE_STEP_US 100000
+/* interval at which the fractions to admit are computed, us */
+#define COMPUTE_US 30000
+/* number of organisations whose demand is included in turn in any answer */
+#define ROUND_ROBIN_ORGS 6
+
+/* demand for one organisation at one node */
+typedef struct lw_nodeusage {
+	uint64_t org;
+	double demand; /* recent demand, per second */
+	uint64_t at_us;
+	double share; /* share of the limit that is reserved while the node is silent */
+	UT_hash_handle hh;
+} lw_nodeusage_t;
+
+typedef struct lw_reporter {
+	uint64_t node; /* digest of its address */
+	uint64_t reported_us;
+	bool silent; /* its shares are reserved */
+	lw_nodeusage_t *uses;
+	UT_hash_handle hh;
+} lw_reporter_t;
+
+struct lw_quotacoord {
+	lw_quota_tolerance_t tolerance;
+	lw_bucket_t *buckets;
+	lw_reporter_t *reporters;
+	uint32_t nodes; /* number of nodes in the fleet */
+	uint32_t nunknown; /* nodes that never reported, or not within FORGET_US */
+	uint64_t reserved_us; /* when the reserved shares were last added up */
+	uint64_t step; /* number of that update */
+	lw_bucket_t **limited; /* buckets of limited organisations, as last computed */
+	size_t nlimited;
+	uint64_t computed_us;
+	lw_bucket_t *next_round_robin; /* its demand is included in the next answer */
+};
+
+/* lw_quotacoord_new() - a coordinator without any reports. */
+lw_quotacoord_t *lw_quotacoord_new(const lw_quota_tolerance_t *tolerance, uint64_t now_us)
+{
+	lw_quotacoord_t *k = xcalloc(1, sizeof(*k));
+
+	k->tolerance = *tolerance;
+	k->reserved_us = now_us;
+	return k;
+}
+
+static void free_reporter(lw_quotacoord_t *k, lw_reporter_t *r)
+{
+	lw_nodeusage_t *u, *next;
+
+	HASH_ITER(hh, r->uses, u, next)
+	{
+		HASH_DEL(r->uses, u);
+		free(u);
+	}
+	HASH_DEL(k->reporters, r);
+	free(r);
+}
+
+/* lw_quotacoord_free() - release the coordinator; NULL is fine. */
+void lw_quotacoord_free(lw_quotacoord_t *k)
+{
+	lw_bucket_t *b, *nextb;
+	lw_reporter_t *r, *nextr;
+
+	if (!k)
+		return;
+	HASH_ITER(hh, k->reporters, r, nextr)
+	free_reporter(k, r);
+	HASH_ITER(hh, k->buckets, b, nextb)
+	{
+		HASH_DEL(k->buckets, b);
+		free(b);
+	}
+	free(k->limited);
+	free(k);
+}
+
+/* lw_quotacoord_set_tolerance() - apply changed settings. */
+void lw_quotacoord_set_tolerance(lw_quotacoord_t *k, const lw_quota_tolerance_t *tolerance)
+{
+	k->tolerance = *tolerance;
+}
+
+/* lw_quotacoord_set_nodes() - set the number of nodes in the fleet. */
+void lw_quotacoord_set_nodes(lw_quotacoord_t *k, uint32_t nodes)
+{
+	k->nodes = nodes;
+}
+
+static lw_bucket_t *bucket_find(const lw_quotacoord_t *k, uint64_t org)
+{
+	lw_bucket_t *b;
+
+	HASH_FIND(hh, k->buckets, &org, sizeof(org), b);
+	return b;
+}
+
+/* the share of a limit that is available to reporting nodes */
+static double available_share(const lw_quotacoord_t *k, const lw_bucket_t *b)
+{
+	double heard = k->nodes ? 1.0 - (double)k->nunknown / k->nodes : 1.0;
+
+	return heard > b->reserved ? heard - b->reserved : 0;
+}
+
+static lw_bucket_t *bucket_new(lw_quotacoord_t *k, uint64_t org, uint64_t now_us)
+{
+	lw_bucket_t *b = xcalloc(1, sizeof(*b));
+
+	b->org = org;
+	b->tokens_us = now_us;
+	b->demand_us = now_us;
+	b->available = available_share(k, b);
+	HASH_ADD(hh, k->buckets, org, sizeof(b->org), b);
+	return b;
+}
+
+/*
+ * lw_quotacoord_set_limits() - apply the limits of a new configuration. A new bucket is
+ * empty, as it is unknown what was admitted before this node became a coordinator.
+ */
+void lw_quotacoord_set_limits(lw_quotacoord_t *k, const lw_orgs_t *orgs, uint64_t now_us)
+{
+	lw_bucket_t *b, *next;
+
+	for (b = k->buckets; b; b = b->hh.next)
+		b->configured = false;
+	for (size_t i = 0; i < lw_orgs_count(orgs); i++) {
+		const lw_organisation_t *org = lw_orgs_at(orgs, i);
+
+		if (org->rate_per_s <= 0)
+			continue;
+		b = bucket_find(k, org->id);
+		if (!b)
+			b = bucket_new(k, org->id, now_us);
+		lw_bucket_advance(b, &k->tolerance, now_us);
+		b->configured = true;
+		b->rate_per_s = org->rate_per_s;
+		b->burst = org->burst;
+	}
+	HASH_ITER(hh, k->buckets, b, next)
+	{
+		if (b->configured)
+			continue;
+		HASH_DEL(k->buckets, b);
+		free(b);
+	}
+	free(k->limited);
+	k->limited = xcalloc(HASH_COUNT(k->buckets) + 1, sizeof(void *));
+	k->nlimited = 0;
+	k->computed_us = 0;
+	k->next_round_robin = k->buckets;
+}
+
+static lw_reporter_t *reporter_of(lw_quotacoord_t *k, uint64_t node)
+{
+	lw_reporter_t *r;
+
+	HASH_FIND(hh, k->reporters, &node, sizeof(node), r);
+	if (r)
+		return r;
+	r = xcalloc(1, sizeof(*r));
+	r->node = node;
+	HASH_ADD(hh, k->reporters, node, sizeof(r->node), r);
+	return r;
+}
+
+/*
+ * Number of requests that a report takes from the bucket. While the node was silent its
+ * share was reserved; charging it again would reduce the limit for all nodes after a
+ * partition. Nothing is known about the time before the first report.
+ */
+static double charge_of(int32_t admitted, double covered_s)
+{
+	if (covered_s <= 0)
+		return 0;
+	return covered_s > SILENT_US / 1e6 ? admitted * (SILENT_US / 1e6) / covered_s : admitted;
+}
+
+static void count_node_usage(lw_reporter_t *r, const lw_quota_usage_t *use, double covered_s,
+			     uint64_t now_us)
+{
+	lw_nodeusage_t *u;
+	double dt;
+
+	HASH_FIND(hh, r->uses, &use->org, sizeof(use->org), u);
+	if (!u) {
+		u = xcalloc(1, sizeof(*u));
+		u->org = use->org;
+		HASH_ADD(hh, r->uses, org, sizeof(u->org), u);
+	}
+	dt = (double)(now_us - u->at_us) / 1e6;
+	u->demand = u->demand * exp(-dt / LW_QUOTA_DEMAND_MEMORY_S) +
+		    lw_bucket_demand_rate(use->asked, LW_QUOTA_DEMAND_MEMORY_S, covered_s);
+	u->at_us = now_us;
+}
+
+/*
+ * Fixes the shares of the limits that a standalone node applies: its shares of the demand
+ * at its last report. The node does not know the demand since then.
+ */
+static void fix_shares(lw_quotacoord_t *k, lw_reporter_t *r)
+{
+	for (lw_nodeusage_t *u = r->uses; u; u = u->hh.next) {
+		const lw_bucket_t *b = bucket_find(k, u->org);
+		double age_s = (double)(r->reported_us - u->at_us) / 1e6;
+		double demand = u->demand * exp(-age_s / LW_QUOTA_DEMAND_MEMORY_S);
+
+		if (b)
+			u->share = lw_quota_share(
+				demand, b->share_history[k->step % LW_BUCKET_HISTORY], k->nodes);
+	}
+	r->silent = true;
+}
+
+static void reserve_for_node(lw_quotacoord_t *k, lw_reporter_t *r)
+{
+	if (!r->silent)
+		fix_shares(k, r);
+	for (const lw_nodeusage_t *u = r->uses; u; u = u->hh.next) {
+		lw_bucket_t *b = bucket_find(k, u->org);
+
+		if (b)
+			b->reserved += u->share;
+	}
+}
+
+/* add up the shares that are reserved for silent nodes */
+static void reserve(lw_quotacoord_t *k, uint64_t now_us)
+{
+	lw_reporter_t *r, *next;
+	uint32_t known = 0;
+
+	if (now_us - k->reserved_us < RESERVE_STEP_US)
+		return;
+	k->reserved_us = now_us;
+	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
+		lw_bucket_advance(b, &k->tolerance, now_us);
+		b->reserved = 0;
+	}
+	k->step++;
+	HASH_ITER(hh, k->reporters, r, next)
+	{
+		uint64_t silent_us = now_us - r->reported_us;
+
+		if (silent_us > FORGET_US) {
+			free_reporter(k, r);
+			continue;
+		}
+		known++;
+		if (silent_us > SILENT_US)
+			reserve_for_node(k, r);
+	}
+	k->nunknown = k->nodes > known ? k->nodes - known : 0;
+	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
+		b->available = available_share(k, b);
+		b->share_history[k->step % LW_BUCKET_HISTORY] = b->shared;
+	}
+}
+
+/* lw_quotacoord_add_report() - account for a report of the node with the digest @node. */
+void lw_quotacoord_add_report(lw_quotacoord_t *k, uint64_t node, const lw_quota_usage_t *uses,
+			      size_t n, uint64_t now_us)
+{
+	lw_reporter_t *r = reporter_of(k, node);
+	double covered_s = r->reported_us ? (double)(now_us - r->reported_us) / 1e6 : 0;
+
+	r->reported_us = now_us;
+	r->silent = false;
+	reserve(k, now_us);
+	for (size_t i = 0; i < n; i++) {
+		lw_bucket_t *b = bucket_find(k, uses[i].org);
+
+		if (!b)
+			continue;
+		lw_bucket_advance(b, &k->tolerance, now_us);
+		b->tokens -= charge_of(uses[i].admitted, covered_s);
+		lw_bucket_add_demand(b, uses[i].asked, covered_s);
+		count_node_usage(r, &uses[i], covered_s, now_us);
+	}
+}
+
+/* finds the organisations that are limited now; usually very few of thousands */
+static void compute_limited(lw_quotacoord_t *k, uint64_t now_us)
+{
+	if (now_us - k->computed_us < COMPUTE_US)
+		return;
+	k->computed_us = now_us;
+	k->nlimited = 0;
+	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
+		lw_bucket_advance(b, &k->tolerance, now_us);
+		b->permille = lw_bucket_permille(b, &k->tolerance);
+		if (b->permille < 1000)
+			k->limited[k->nlimited++] = b;
+	}
+}
+
+static void add_grant(lw_bucket_t *b, bool with_demand, lw_quota_grant_t *out, size_t *n,
+		      size_t most)
+{
+	if (*n < most)
+		out[(*n)++] =
+			(lw_quota_grant_t){ b->org, b->permille, with_demand ? b->shared : 0 };
+}
+
+/* include the demand of the next few organisations */
+static void add_round_robin_grants(lw_quotacoord_t *k, lw_quota_grant_t *out, size_t *n,
+				   size_t most)
+{
+	for (int i = 0; i < ROUND_ROBIN_ORGS && k->next_round_robin; i++) {
+		add_grant(k->next_round_robin, true, out, n, most);
+		k->next_round_robin = k->next_round_robin->hh.next;
+	}
+	if (!k->next_round_robin)
+		k->next_round_robin = k->buckets;
+}
+
+/*
+ * lw_quotacoord_grants() - fill @out with the answer to a node that reported @uses: every
+ * organisation that is limited now, and the demand of the organisations it reported. The
+ * demand of some other organisations is included in turn, as a node that rarely gets
+ * requests of an organisation would otherwise compute its share from outdated demand. An
+ * organisation may be included twice, with the same fraction.
+ */
+size_t lw_quotacoord_grants(lw_quotacoord_t *k, const lw_quota_usage_t *uses, size_t n,
+			    lw_quota_grant_t *out, size_t most, uint64_t now_us)
+{
+	size_t ngrants = 0;
+
+	if (!k->buckets)
+		return 0;
+	compute_limited(k, now_us);
+	for (size_t i = 0; i < k->nlimited; i++)
+		add_grant(k->limited[i], false, out, &ngrants, most);
+	for (size_t i = 0; i < n; i++) {
+		lw_bucket_t *b = bucket_find(k, uses[i].org);
+
+		if (b)
+			add_grant(b, true, out, &ngrants, most);
+	}
+	add_round_robin_grants(k, out, &ngrants, most);
+	return ngrants;
+}
--- a/src/quotawindow.c
+++ b/src/quotawindow.c
@@ -1,18 +1,18 @@
-/* Counts over a sliding window; see quotawindow.h. */
+/* Counters over a sliding window; see quotawindow.h. */
 #include "quotawindow.h"
 
 #include <string.h>
 
 static uint32_t *slice_at(lw_quotawindow_t *w, uint64_t number)
 {
-	return &w->count[number % LW_QUOTAWINDOW_KEPT];
+	return &w->count[number % LW_QUOTAWINDOW_COUNTERS];
 }
 
 static void advance(lw_quotawindow_t *w, double window_s, uint64_t now_us)
 {
 	uint64_t slice = (uint64_t)((double)now_us / (window_s * 1e6 / LW_QUOTAWINDOW_SLICES));
 
-	if (slice > w->newest + LW_QUOTAWINDOW_KEPT) {
+	if (slice > w->newest + LW_QUOTAWINDOW_COUNTERS) {
 		memset(w->count, 0, sizeof(w->count));
 		w->newest = slice;
 	}
@@ -22,18 +22,18 @@
 	}
 }
 
-/* lw_quotawindow_add() - one more, now. */
+/* lw_quotawindow_add() - count one event now. */
 void lw_quotawindow_add(lw_quotawindow_t *w, double window_s, uint64_t now_us)
 {
 	advance(w, window_s, now_us);
 	++*slice_at(w, w->newest);
 }
 
-/* lw_quotawindow_take_back() - one of late does not count after all. */
-void lw_quotawindow_take_back(lw_quotawindow_t *w, double window_s, uint64_t now_us)
+/* lw_quotawindow_remove() - uncount one of the most recent events. */
+void lw_quotawindow_remove(lw_quotawindow_t *w, double window_s, uint64_t now_us)
 {
 	advance(w, window_s, now_us);
-	for (uint64_t i = 0; i < LW_QUOTAWINDOW_KEPT && i <= w->newest; i++) {
+	for (uint64_t i = 0; i < LW_QUOTAWINDOW_COUNTERS && i <= w->newest; i++) {
 		uint32_t *count = slice_at(w, w->newest - i);
 
 		if (!*count)
@@ -43,13 +43,13 @@
 	}
 }
 
-/* lw_quotawindow_sum() - how many in the window that ends now, or a little before it begins. */
+/* lw_quotawindow_sum() - events in the window that ends now, plus up to one slice before it. */
 uint32_t lw_quotawindow_sum(lw_quotawindow_t *w, double window_s, uint64_t now_us)
 {
 	uint32_t sum = 0;
 
 	advance(w, window_s, now_us);
-	for (int i = 0; i < LW_QUOTAWINDOW_KEPT; i++)
+	for (int i = 0; i < LW_QUOTAWINDOW_COUNTERS; i++)
 		sum += w->count[i];
 	return sum;
 }
--- a/src/simfleet.c
+++ b/src/simfleet.c
@@ -1,11 +1,12 @@
 /*
- * The model behind lwsim. Each server has a node with the real queue,
- * admission and level; each node places the requests that begin on it with
- * the real placement and hears loads with answers only. Modelled: slots,
- * speeds, slowing down when nearly full, calls one after the other, deadlines,
- * callers that come back. Not modelled: the network's limits, connections,
- * processor time of the nodes, and faults other than a slow server and
- * servers that shed at random.
+ * The fleet model of lwsim. Each server has a node that uses lwproxy's code
+ * for the queue, admission and admission level. A node uses lwproxy's placement
+ * for the requests that it receives first, and learns the load of other nodes
+ * from answers only. Modelled are slots, server speeds, the slowdown of nearly
+ * full servers, sequential nested calls, deadlines and callers that retry
+ * after a rejection. Not modelled are network capacity, connections, processor
+ * time of the nodes, and faults other than a slow server and servers that shed
+ * requests at random.
  */
 #include <math.h>
 #include <stdio.h>
@@ -13,17 +14,17 @@
 #include <string.h>
 
 #include "admit.h"
-#include "comeback.h"
+#include "retryafter.h"
 #include "simfleet_int.h"
 #include "xalloc.h"
 
-/* when a refused caller comes back if no server said better, ms, as in exchange.c */
-#define COMEBACK_DEFAULT_MS 250
-/* first guess of a node's service time, us, as in gate.c */
+/* retry-after delay for rejected callers if no server announced one, ms, as in lwproxy */
+#define RETRY_AFTER_DEFAULT_MS 250
+/* initial value of a node's average service time, us, as in gate.c */
 #define SERVICE_FIRST_US 50000
 #define LATENCIES_MAX	 200000
 
-static void attempt(run_t *r, req_t *q, lw_fail_t last);
+static void send_attempt(run_t *r, req_t *q, lw_fail_t last);
 static void resend(run_t *r, req_t *q);
 
 static lw_sim_kind_t *kind_by_name(lw_sim_t *s, const char *name)
@@ -50,37 +51,37 @@
 	q->give_up_us = r->now + (uint64_t)k->timeout_ms * 1000;
 	q->target_us = parent ? parent->target_us : r->now + (uint64_t)k->target_ms * 1000;
 	if (parent) {
-		q->rank = lw_sim_has(r->sim, LW_SIM_INHERITED_RANK) ?
+		q->rank = lw_sim_has_mechanism(r->sim, LW_SIM_INHERITED_RANK) ?
 				  parent->rank :
 				  lw_rank(k->priority, lw_str_c(k->name));
 		q->above = parent->above + 1;
-		q->attempts.nested = lw_sim_has(r->sim, LW_SIM_RESENDS);
+		q->attempts.nested = lw_sim_has_mechanism(r->sim, LW_SIM_RESENDS);
 		if (q->give_up_us > parent->give_up_us)
 			q->give_up_us = parent->give_up_us;
 	} else {
 		snprintf(id, sizeof(id), "%llx", (unsigned long long)lw_sim_random(r));
 		q->rank = lw_rank(k->priority, lw_str_c(id));
-		if (lw_sim_has(r->sim, LW_SIM_WEIGHED_RANKS))
-			q->rank = lw_hotpath_weighed(origin->hot, k->name, q->rank, r->now);
+		if (lw_sim_has_mechanism(r->sim, LW_SIM_WEIGHED_RANKS))
+			q->rank = lw_overload_weighted_rank(origin->hot, k->name, q->rank, r->now);
 		q->tries_left = k->retries;
 	}
 	return q;
 }
 
-/* a request that is not a repeat sets out */
+/* send the first attempt of a request */
 static void send_first(run_t *r, req_t *q)
 {
 	lw_place_service_t *s = lw_place_service(&q->origin->place, q->kind->service);
 
-	lw_retrylimit_request(&s->retries, &r->terms, r->now);
+	lw_retrylimit_count_request(&s->retries, &r->terms, r->now);
 	lw_sim_push(r, LW_SIM_TIMEOUT, q->give_up_us, q);
-	attempt(r, q, LW_FAIL_NO_SERVER);
+	send_attempt(r, q, LW_FAIL_NO_SERVER);
 }
 
 static void next_call(run_t *r, req_t *q)
 {
 	if (q->call_failed || !q->calls_left) {
-		lw_sim_run_over(r, q, q->call_failed);
+		lw_sim_complete_run(r, q, q->call_failed);
 		return;
 	}
 	q->calls_left--;
@@ -89,37 +90,37 @@
 	send_first(r, c);
 }
 
-/* whoever waits for the request hears its outcome */
-static void finish(run_t *r, req_t *q, bool good, bool refused, uint32_t room_ms)
+/* pass the outcome of a request to its parent, or count it; a rejected user may try again */
+static void finish(run_t *r, req_t *q, bool good, bool refused, uint32_t retry_after_ms)
 {
 	lw_sim_count_t *c = &q->kind->count;
 	uint64_t took_ms = (r->now - q->first_us) / 1000;
 	uint32_t second = (uint32_t)(q->first_us / 1000000);
 
-	if (q->over)
+	if (q->finished)
 		return;
-	q->over = true;
+	q->finished = true;
 	if (q->parent) {
 		req_t *p = q->parent;
 
 		p->work_done_ms += q->work_done_ms;
 		p->call_failed |= !good;
-		if (!p->over)
+		if (!p->finished)
 			next_call(r, p);
 		else
-			lw_sim_run_over(r, p, true);
+			lw_sim_complete_run(r, p, true);
 		return;
 	}
 	if (refused && q->tries_left) {
 		uint32_t left = q->kind->deadline_ms > took_ms ?
 					q->kind->deadline_ms - (uint32_t)took_ms :
 					0;
-		uint32_t ms = lw_comeback_ms(room_ms ? room_ms : COMEBACK_DEFAULT_MS,
-					     q->kind->priority, left, (uint32_t)lw_sim_random(r));
-		lw_simevent_t *e =
-			lw_sim_push(r, LW_SIM_RETURN, r->now + (uint64_t)ms * 1000, NULL);
+		uint32_t ms =
+			lw_retry_after_ms(retry_after_ms ? retry_after_ms : RETRY_AFTER_DEFAULT_MS,
+					  q->kind->priority, left, (uint32_t)lw_sim_random(r));
+		lw_simevent_t *e = lw_sim_push(r, LW_SIM_RETRY, r->now + (uint64_t)ms * 1000, NULL);
 
-		e->of = q->kind;
+		e->request_kind = q->kind;
 		e->req = q;
 		r->sim->total.refusals++;
 		return;
@@ -141,19 +142,19 @@
 	}
 }
 
-static void took_load(run_t *r, req_t *q, const lw_load_t *load, bool served)
+static void record_load(run_t *r, req_t *q, const lw_load_t *load, bool served)
 {
 	lw_load_t path = *load;
 	lw_place_service_t *s = q->host->service;
 	uint32_t used;
 
-	lw_place_told(q->host, load, r->now);
-	lw_place_tell(s, load->ran_us, r->now, &path.hots);
-	lw_hotpath_told(q->origin->hot, q->kind->name, &path.hots, path.depth, r->now);
-	lw_hotpath_used(q->origin->hot, q->kind->name, path.retry_used);
+	lw_place_load_reported(q->host, load, r->now);
+	lw_place_add_level(s, load->ran_us, r->now, &path.hots);
+	lw_overload_on_answer(q->origin->hot, q->kind->name, &path.hots, path.depth, r->now);
+	lw_overload_add_retry_used(q->origin->hot, q->kind->name, path.retry_used);
 	if (served && !q->parent)
-		lw_hotpath_worked(q->origin->hot, q->kind->name, q->kind->priority, &path.hots,
-				  r->now);
+		lw_overload_add_work(q->origin->hot, q->kind->name, q->kind->priority, &path.hots,
+				     r->now);
 	if (!q->parent)
 		return;
 	used = lw_retrylimit_used(&s->retries, &r->terms, (uint32_t)r->nnodes, r->now);
@@ -164,23 +165,23 @@
 	if (path.depth + 1 > q->parent->depth)
 		q->parent->depth = path.depth + 1;
 	for (uint32_t i = 0; i < path.hots.n; i++)
-		lw_hots_add(&q->parent->hots, &path.hots.hot[i]);
+		lw_path_levels_add(&q->parent->hots, &path.hots.hot[i]);
 }
 
 static bool take_retry(run_t *r, req_t *q)
 {
-	lw_retryplace_t at = {
+	lw_retryposition_t at = {
 		.nodes = (uint32_t)r->nnodes,
 		.above = q->above,
-		.below = lw_hotpath_depth(q->origin->hot, q->kind->name),
+		.below = lw_overload_call_depth(q->origin->hot, q->kind->name),
 		.rank = q->rank,
 		.urgent = q->rank < LW_RANKS_PER_PRIORITY,
-		.used_below = lw_hotpath_retry_used(q->origin->hot, q->kind->name),
+		.used_below = lw_overload_retry_used(q->origin->hot, q->kind->name),
 	};
 	bool yes;
 
-	/* as if all ranks of a priority were one */
-	if (!lw_sim_has(r->sim, LW_SIM_LOWEST_RANKS))
+	/* without the mechanism all requests of a priority are treated alike */
+	if (!lw_sim_has_mechanism(r->sim, LW_SIM_LOWEST_RANKS))
 		at.rank -= at.rank % LW_RANKS_PER_PRIORITY;
 	yes = lw_retrylimit_take(&q->host->service->retries, &r->terms, &at, r->now);
 
@@ -193,21 +194,21 @@
 	req_t *q = e->req;
 	lw_verdict_t v;
 
-	if (q->over)
+	if (q->finished)
 		return;
-	took_load(r, q, &e->load, e->why == LW_FAIL_NONE && !e->bad);
-	lw_place_ended(q->host, e->why == LW_FAIL_NONE && !e->bad, r->now);
-	if (e->why == LW_FAIL_NONE && !e->bad) {
+	record_load(r, q, &e->load, e->why == LW_FAIL_NONE && !e->server_failed);
+	lw_place_request_done(q->host, e->why == LW_FAIL_NONE && !e->server_failed, r->now);
+	if (e->why == LW_FAIL_NONE && !e->server_failed) {
 		finish(r, q, true, false, 0);
 		return;
 	}
-	q->attempts.left_ms = lw_sim_left_ms(r, q);
+	q->attempts.left_ms = lw_sim_remaining_ms(r, q);
 	if (e->why == LW_FAIL_NONE) {
 		q->attempts.given++;
 		if (!e->load.call_failed &&
-		    lw_retry_answer(&q->attempts, 500) == LW_VERDICT_AGAIN_COUNTED &&
+		    lw_retry_verdict_status(&q->attempts, 500) == LW_VERDICT_RETRY_OTHER_COUNTED &&
 		    take_retry(r, q))
-			attempt(r, q, LW_FAIL_BROKEN);
+			send_attempt(r, q, LW_FAIL_BROKEN);
 		else
 			finish(r, q, false, false, 0);
 		return;
@@ -217,12 +218,13 @@
 	else if (!q->attempts.resent)
 		q->attempts.given++;
 	v = lw_retry_verdict(&q->attempts, e->why);
-	if (v == LW_VERDICT_AGAIN || (v == LW_VERDICT_AGAIN_COUNTED && take_retry(r, q)))
-		attempt(r, q, e->why);
-	else if (v == LW_VERDICT_SAME_COUNTED && take_retry(r, q))
+	if (v == LW_VERDICT_RETRY_OTHER ||
+	    (v == LW_VERDICT_RETRY_OTHER_COUNTED && take_retry(r, q)))
+		send_attempt(r, q, e->why);
+	else if (v == LW_VERDICT_RESEND_SAME_COUNTED && take_retry(r, q))
 		resend(r, q);
 	else
-		finish(r, q, false, v == LW_VERDICT_REFUSE, e->room_ms);
+		finish(r, q, false, v == LW_VERDICT_REFUSE, e->retry_after_ms);
 }
 
 static sim_node_t *node_of(run_t *r, const char *id)
@@ -230,20 +232,20 @@
 	return &r->node[atoi(id + 1)];
 }
 
-static void give(run_t *r, req_t *q)
+static void send_to_node(run_t *r, req_t *q)
 {
 	q->hots.n = 0;
 	q->call_failed = false;
 	q->at = node_of(r, q->host->id);
-	lw_place_sent(q->host);
+	lw_place_request_sent(q->host);
 	lw_sim_push(r, LW_SIM_AT_NODE,
 		    r->now + (q->host->self ? 0 : (uint64_t)(r->sim->net_ms * 1000)), q);
 }
 
-static void attempt(run_t *r, req_t *q, lw_fail_t last)
+static void send_attempt(run_t *r, req_t *q, lw_fail_t last)
 {
 	lw_place_service_t *s = lw_place_service(&q->origin->place, q->kind->service);
-	lw_place_ask_t ask = { r->now, 0, (uint32_t)lw_sim_random(r) };
+	lw_place_query_t ask = { r->now, 0, (uint32_t)lw_sim_random(r) };
 	lw_place_host_t *h = lw_place_pick(s, &q->tried, &ask);
 
 	if (r->sim->policy == LW_SIM_NAIVE && !q->tried.n) {
@@ -253,31 +255,31 @@
 			h = h->next ? h->next : s->hosts;
 	}
 	if (!h) {
-		finish(r, q, false, lw_fail_not_run(last), 0);
+		finish(r, q, false, lw_fail_not_executed(last), 0);
 		return;
 	}
 	q->tried.host[q->tried.n++] = h;
 	q->host = h;
-	give(r, q);
+	send_to_node(r, q);
 }
 
-/* once more to the server that shed it */
+/* send a call again to the server that shed it */
 static void resend(run_t *r, req_t *q)
 {
 	q->attempts.resent++;
-	give(r, q);
+	send_to_node(r, q);
 }
 
-static void begin(run_t *r, lw_sim_kind_t *k, uint64_t first_us, uint32_t tries_left)
+static void start_user_request(run_t *r, lw_sim_kind_t *k, uint64_t first_us, uint32_t tries_left)
 {
 	sim_node_t *origin = &r->node[lw_sim_random(r) % r->nnodes];
 	req_t *q = new_req(r, k, origin, NULL);
-	lw_hot_t by;
+	lw_service_level_t by;
 
 	q->first_us = first_us;
 	q->tries_left = tries_left;
-	if (lw_sim_has(r->sim, LW_SIM_LEVELS) &&
-	    !lw_hotpath_admits(origin->hot, k->name, q->rank, r->now, &by)) {
+	if (lw_sim_has_mechanism(r->sim, LW_SIM_LEVELS) &&
+	    !lw_overload_admits(origin->hot, k->name, q->rank, r->now, &by)) {
 		finish(r, q, false, true, 0);
 		return;
 	}
@@ -303,9 +305,9 @@
 	k->count.asked++;
 	if (second < LW_SIM_SECONDS_MAX)
 		r->sim->asked_at[second]++;
-	begin(r, k, r->now, k->retries);
+	start_user_request(r, k, r->now, k->retries);
 	e = lw_sim_push(r, LW_SIM_ARRIVE, r->now + (uint64_t)(gap * 1e6), NULL);
-	e->of = k;
+	e->request_kind = k;
 }
 
 static void on_step(run_t *r)
@@ -321,7 +323,7 @@
 			lw_load_t load;
 
 			lw_waitq_remove(&n->queue, w);
-			lw_sim_load_of(n, &load);
+			lw_sim_node_load(n, &load);
 			lw_sim_send_answer(r, (req_t *)(void *)w, LW_FAIL_EXPIRED, false,
 					   lw_admit_retry_after_ms(&load));
 		}
@@ -332,7 +334,7 @@
 
 static void on_timeout(run_t *r, req_t *q)
 {
-	if (q->over)
+	if (q->finished)
 		return;
 	if (q->queued) {
 		lw_waitq_remove(&q->at->queue, &q->waiter);
@@ -341,19 +343,19 @@
 	finish(r, q, false, false, 0);
 }
 
-static void handle(run_t *r, const lw_simevent_t *e)
+static void handle_event(run_t *r, const lw_simevent_t *e)
 {
 	req_t *q = e->req;
 
 	switch (e->kind) {
 	case LW_SIM_ARRIVE:
-		on_arrive(r, e->of);
+		on_arrive(r, e->request_kind);
 		break;
 	case LW_SIM_AT_NODE:
-		if (!q->over)
+		if (!q->finished)
 			lw_sim_at_node(r, q);
 		break;
-	case LW_SIM_WORKED:
+	case LW_SIM_WORK_DONE:
 		next_call(r, q);
 		break;
 	case LW_SIM_ANSWER:
@@ -362,8 +364,8 @@
 	case LW_SIM_TIMEOUT:
 		on_timeout(r, q);
 		break;
-	case LW_SIM_RETURN:
-		begin(r, e->of, q->first_us, q->tries_left - 1);
+	case LW_SIM_RETRY:
+		start_user_request(r, e->request_kind, q->first_us, q->tries_left - 1);
 		break;
 	case LW_SIM_STEP:
 		on_step(r);
@@ -389,13 +391,14 @@
 			n->service = (uint32_t)i;
 			n->index = k;
 			n->slots = e->slots;
-			n->limit = lw_sim_has(s, LW_SIM_KNEE_MARGIN) ? lw_admit_limit(e->slots) :
-								       e->slots;
+			n->limit = lw_sim_has_mechanism(s, LW_SIM_KNEE_MARGIN) ?
+					   lw_admit_limit(e->slots) :
+					   e->slots;
 			n->speed = s->services[i].speed[k];
 			if (k == 0 && strcmp(s->slow_service, s->services[i].name) == 0)
 				n->speed /= s->slow_x;
 			n->service_us = SERVICE_FIRST_US;
-			n->hot = lw_hotpath_new();
+			n->hot = lw_overload_new();
 			lw_level_init(&n->level);
 			sl.nservers++;
 			r->nnodes++;
@@ -408,25 +411,25 @@
 	free(sl.servers);
 }
 
-/* lw_sim_run() - play the load once with @seed; counts are in @s afterwards. */
+/* lw_sim_run() - simulate the load once with random @seed; the counts are left in @s. */
 void lw_sim_run(lw_sim_t *s, uint64_t seed)
 {
 	run_t *r = xcalloc(1, sizeof(*r));
 
 	r->sim = s;
 	r->rng = seed * 2654435769u | 1;
-	r->terms = (lw_retryterms_t){ .ratio = 0.2, .extra = 47, .window_s = 10 };
+	r->terms = (lw_retryallowance_t){ .ratio = 0.2, .extra = 47, .window_s = 10 };
 	build_nodes(r);
 	for (size_t i = 0; i < s->nkinds; i++)
 		if (s->kinds[i].rate > 0)
 			lw_sim_push(r, LW_SIM_ARRIVE, (uint64_t)(lw_sim_random01(r) * 1e5), NULL)
-				->of = &s->kinds[i];
+				->request_kind = &s->kinds[i];
 	lw_sim_push(r, LW_SIM_STEP, LW_LEVEL_STEP_MS * 1000, NULL);
 	while (r->events.len) {
 		lw_simevent_t e = lw_simqueue_pop(&r->events);
 
 		r->now = e.at_us;
-		handle(r, &e);
+		handle_event(r, &e);
 	}
 	lw_simqueue_free(&r->events);
 	free(r);
--- a/src/simserver.c
+++ b/src/simserver.c
@@ -1,6 +1,6 @@
 /*
- * The model's servers and the nodes beside them: admission, queue, work. The
- * decisions are the real ones.
+ * Servers of the fleet model and their nodes: admission, queue and work.
+ * Admission and queue use lwproxy's own decision modules.
  */
 #include <math.h>
 #include <string.h>
@@ -8,11 +8,11 @@
 #include "admit.h"
 #include "simfleet_int.h"
 
-/* useful wait before a server, percent of the target, as in exchange.c */
+/* longest useful wait in a server's queue, percent of the latency objective, as in lwproxy */
 #define QUEUE_NEW_PERCENT 35
-/* weight of a run in a node's average service time, as in gate.c */
+/* weight of one request in a node's average service time, as in gate.c */
 #define SERVICE_EWMA 0.05
-/* work spreads around its mean by this (log-normal sigma) */
+/* spread of the work around its mean: sigma of a log-normal distribution */
 #define WORK_SIGMA 0.3
 
 /* lw_sim_random() - 64 random bits (xorshift64*). */
@@ -24,20 +24,20 @@
 	return r->rng * 2685821657736338717ULL;
 }
 
-/* lw_sim_random01() - a random number between 0 and 1, never either. */
+/* lw_sim_random01() - a random number between 0 and 1, both excluded. */
 double lw_sim_random01(run_t *r)
 {
 	return ((lw_sim_random(r) >> 11) + 0.5) / 9007199254740992.0;
 }
 
-static double work_of(run_t *r, const lw_sim_kind_t *k)
+static double draw_work_ms(run_t *r, const lw_sim_kind_t *k)
 {
 	double normal = sqrt(-2 * log(lw_sim_random01(r))) * cos(2 * M_PI * lw_sim_random01(r));
 
 	return k->work_ms * exp(WORK_SIGMA * normal - WORK_SIGMA * WORK_SIGMA / 2);
 }
 
-/* lw_sim_push() - an event of @q at @at_us. */
+/* lw_sim_push() - add an event of request @q at time @at_us. */
 lw_simevent_t *lw_sim_push(run_t *r, lw_simevent_kind_t kind, uint64_t at_us, req_t *q)
 {
 	lw_simevent_t *e = lw_simqueue_push(&r->events, kind, at_us);
@@ -46,8 +46,8 @@
 	return e;
 }
 
-/* lw_sim_load_of() - what a node tells of its server. */
-void lw_sim_load_of(const sim_node_t *n, lw_load_t *out)
+/* lw_sim_node_load() - the load of its server that a node reports in answers. */
+void lw_sim_node_load(const sim_node_t *n, lw_load_t *out)
 {
 	memset(out, 0, sizeof(*out));
 	out->running = n->running;
@@ -57,16 +57,17 @@
 	out->level = n->level.level;
 }
 
-/* lw_sim_send_answer() - the outcome of @q, on its way to where it began. */
-void lw_sim_send_answer(run_t *r, req_t *q, lw_fail_t why, bool bad, uint32_t room_ms)
+/* lw_sim_send_answer() - send the outcome of @q to the node where the request began. */
+void lw_sim_send_answer(run_t *r, req_t *q, lw_fail_t why, bool server_failed,
+			uint32_t retry_after_ms)
 {
 	uint64_t at = r->now + (uint64_t)(r->sim->net_ms * 1000);
 	lw_simevent_t *e = lw_sim_push(r, LW_SIM_ANSWER, at, q);
 
 	e->why = why;
-	e->bad = bad;
-	e->room_ms = room_ms;
-	lw_sim_load_of(q->at, &e->load);
+	e->server_failed = server_failed;
+	e->retry_after_ms = retry_after_ms;
+	lw_sim_node_load(q->at, &e->load);
 	e->load.hots = q->hots;
 	e->load.ran_us = why == LW_FAIL_NONE ? (uint32_t)(r->now - q->started_us) : 0;
 	e->load.depth = q->depth;
@@ -74,18 +75,18 @@
 	e->load.call_failed = q->call_failed;
 }
 
-/* lw_sim_left_ms() - what the request's caller still waits. */
-uint32_t lw_sim_left_ms(const run_t *r, const req_t *q)
+/* lw_sim_remaining_ms() - time until the caller of the request times out, ms. */
+uint32_t lw_sim_remaining_ms(const run_t *r, const req_t *q)
 {
 	return q->give_up_us > r->now ? (uint32_t)((q->give_up_us - r->now) / 1000) : 0;
 }
 
-/* own work of a request: slower when the server is nearly full */
+/* start the server's own work on a request; it takes longer when the server is nearly full */
 static void start_work(run_t *r, req_t *q)
 {
 	sim_node_t *n = q->at;
 	const lw_sim_service_t *sv = &r->sim->services[n->service];
-	double ms = work_of(r, q->kind) / n->speed;
+	double ms = draw_work_ms(r, q->kind) / n->speed;
 
 	if (sv->knee > 0 && n->running > sv->knee * n->slots)
 		ms *= sv->knee_x;
@@ -98,29 +99,30 @@
 		r->sim->busy_ms[n->service] += ms * n->speed;
 	n->running++;
 	q->calls_left = q->kind->call[0] ? q->kind->calls : 0;
-	lw_sim_push(r, LW_SIM_WORKED, r->now + (uint64_t)(ms * 1000), q);
+	lw_sim_push(r, LW_SIM_WORK_DONE, r->now + (uint64_t)(ms * 1000), q);
 }
 
 static uint32_t queue_ms(const run_t *r, const req_t *q)
 {
-	return q->parent ? lw_sim_left_ms(r, q) : q->kind->target_ms * QUEUE_NEW_PERCENT / 100;
+	return q->parent ? lw_sim_remaining_ms(r, q) : q->kind->target_ms * QUEUE_NEW_PERCENT / 100;
 }
 
 static void dispatch(run_t *r, sim_node_t *n);
 
-/* lw_sim_at_node() - a request reaches the node beside its server. */
+/* lw_sim_at_node() - a request reaches the node of its server: admit and queue it, or reject it. */
 void lw_sim_at_node(run_t *r, req_t *q)
 {
 	sim_node_t *n = q->at;
 	bool naive = r->sim->policy == LW_SIM_NAIVE;
-	lw_ask_t ask = { .deadline_ms = lw_sim_left_ms(r, q), .queue_ms = queue_ms(r, q) };
+	lw_call_request_t ask = { .deadline_ms = lw_sim_remaining_ms(r, q),
+				  .queue_ms = queue_ms(r, q) };
 	lw_admit_state_t st;
 	lw_fail_t why;
 
 	lw_level_arrival(&n->level, q->rank);
-	lw_sim_load_of(n, &st.load);
+	lw_sim_node_load(n, &st.load);
 	q->waiter.priority = r->sim->policy >= LW_SIM_FIFO ? 0 : q->rank / LW_RANKS_PER_PRIORITY;
-	if (lw_sim_has(r->sim, LW_SIM_OBJECTIVE_ORDER)) {
+	if (lw_sim_has_mechanism(r->sim, LW_SIM_OBJECTIVE_ORDER)) {
 		q->waiter.target_us = q->target_us;
 		q->waiter.late = q->target_us < r->now + (uint64_t)n->service_us;
 	}
@@ -128,7 +130,7 @@
 	if (r->sim->policy >= LW_SIM_FIFO)
 		q->waiter.expires_us =
 			naive ? q->give_up_us : r->now + (uint64_t)queue_ms(r, q) * 1000;
-	st.ahead = (uint32_t)lw_waitq_ahead(&n->queue, &q->waiter);
+	st.ahead = (uint32_t)lw_waitq_count_ahead(&n->queue, &q->waiter);
 	why = naive ? LW_FAIL_NONE : lw_admit(&st, &ask);
 	if (why) {
 		lw_sim_send_answer(r, q, why, false, lw_admit_retry_after_ms(&st.load));
@@ -140,7 +142,7 @@
 	dispatch(r, n);
 }
 
-/* a server that sheds turns requests away at random, however little it has to do */
+/* the injected fault: shed a request at random, independent of the server's load */
 static bool shed(run_t *r, req_t *q)
 {
 	const lw_sim_t *s = r->sim;
@@ -168,13 +170,13 @@
 	}
 }
 
-/* lw_sim_run_over() - a server has answered; the next request may start. */
-void lw_sim_run_over(run_t *r, req_t *q, bool bad)
+/* lw_sim_complete_run() - the server has answered @q; start the next request in its queue. */
+void lw_sim_complete_run(run_t *r, req_t *q, bool server_failed)
 {
 	sim_node_t *n = q->at;
 
 	n->running--;
 	n->service_us += SERVICE_EWMA * ((double)(r->now - q->started_us) - n->service_us);
-	lw_sim_send_answer(r, q, LW_FAIL_NONE, bad, 0);
+	lw_sim_send_answer(r, q, LW_FAIL_NONE, server_failed, 0);
 	dispatch(r, n);
 }
