--- a/src/tomlshim.cc
+++ b/src/tomlshim.cc
@@ -1,4 +1,4 @@
-// The one C++ file: a C-callable view of toml++ (docs/DESIGN.md says why).
+// C interface to toml++, the only C++ file (docs/DESIGN.md explains why).
 #include "tomlshim.h"
 
 #include <cstdio>
@@ -7,17 +7,17 @@
 #include <stdexcept>
 #include <string_view>
 
-// The library asserts on some malformed input (a table's name that starts
-// with a control character or a symbol). An assert would end every node that
-// reads one bad document; thrown, it is an ordinary parse error.
+// The library asserts on some malformed input (a table name that starts with a
+// control character or a symbol). A failed assert would abort every node that
+// reads such a document; as an exception it is an ordinary parse error.
 #define TOML_ASSERT(expr)                                    \
 	do {                                                 \
 		if (!(expr))                                 \
 			throw std::runtime_error("TOML: " #expr); \
 	} while (0)
 
-// Its test for white space calls code unreachable that any letter from U+00A1
-// to U+0499 reaches, in a comment for example; "no" is the right answer there.
+// The library's whitespace test marks code as unreachable that any letter from
+// U+00A1 to U+0499 reaches, e.g. in a comment; the correct result there is false.
 #include <toml++/impl/preprocessor.h>
 #undef TOML_UNREACHABLE
 #define TOML_UNREACHABLE return {}
@@ -25,7 +25,7 @@
 #undef TOML_UNREACHABLE
 #define TOML_UNREACHABLE __builtin_unreachable()
 
-// an assert in a noexcept function still ends the process
+// a failed assert in a noexcept function still ends the process
 #pragma GCC diagnostic push
 #ifndef __clang__
 #pragma GCC diagnostic ignored "-Wterminate"
@@ -37,22 +37,22 @@
 	toml::table root;
 };
 
-static const toml::node *N(const lw_toml_node_t *n)
+static const toml::node *to_node(const lw_toml_node_t *n)
 {
 	return reinterpret_cast<const toml::node *>(n);
 }
 
-static const lw_toml_node_t *C(const toml::node *n)
+static const lw_toml_node_t *to_handle(const toml::node *n)
 {
 	return reinterpret_cast<const lw_toml_node_t *>(n);
 }
 
-// lw_toml_parse() - parse @len bytes of @text; NULL on error with "line N: why"
-// written to @err.
+// lw_toml_parse() - parses @len bytes of @text; NULL on error, with the line,
+// column and reason written to @err.
 extern "C" lw_toml_doc_t *lw_toml_parse(const char *text, size_t len, char *err, size_t errlen)
 {
 	try {
-		// owned here until it is whole: parse() throws on bad input
+		// unique_ptr frees the document if parse() throws on invalid input
 		auto doc = std::make_unique<lw_toml_doc>();
 		doc->root = toml::parse(std::string_view(text, len));
 		return doc.release();
@@ -61,12 +61,12 @@
 			 (unsigned)e.source().begin.line, (unsigned)e.source().begin.column,
 			 (int)e.description().size(), e.description().data());
 	} catch (...) {
-		snprintf(err, errlen, "unreadable; look for a table or key name with stray characters");
+		snprintf(err, errlen, "cannot be parsed; look for a table or key name with stray characters");
 	}
 	return nullptr;
 }
 
-// lw_toml_free() - release a document from lw_toml_parse().
+// lw_toml_free() - releases a document from lw_toml_parse().
 extern "C" void lw_toml_free(lw_toml_doc_t *doc)
 {
 	delete doc;
@@ -75,23 +75,23 @@
 // lw_toml_root() - the top-level table of @doc.
 extern "C" const lw_toml_node_t *lw_toml_root(const lw_toml_doc_t *doc)
 {
-	return C(&doc->root);
+	return to_handle(&doc->root);
 }
 
 // lw_toml_get() - the value under @key of @table, or NULL.
 extern "C" const lw_toml_node_t *lw_toml_get(const lw_toml_node_t *table, const char *key)
 {
-	if (!table || !N(table)->is_table())
+	if (!table || !to_node(table)->is_table())
 		return nullptr;
-	return C(N(table)->as_table()->get(key));
+	return to_handle(to_node(table)->as_table()->get(key));
 }
 
-// lw_toml_type() - what kind of value @node is; LW_TOML_NONE for NULL.
+// lw_toml_type() - the type of @node; LW_TOML_NONE for NULL.
 extern "C" lw_toml_type_t lw_toml_type(const lw_toml_node_t *node)
 {
 	if (!node)
 		return LW_TOML_NONE;
-	switch (N(node)->type()) {
+	switch (to_node(node)->type()) {
 	case toml::node_type::table:
 		return LW_TOML_TABLE;
 	case toml::node_type::array:
@@ -109,10 +109,10 @@
 	}
 }
 
-// lw_toml_line() - the source line where @node starts, 0 if unknown.
+// lw_toml_line() - the source line where @node starts; 0 if unknown.
 extern "C" int lw_toml_line(const lw_toml_node_t *node)
 {
-	return node ? (int)N(node)->source().begin.line : 0;
+	return node ? (int)to_node(node)->source().begin.line : 0;
 }
 
 // lw_toml_len() - number of items of an array or keys of a table.
@@ -120,9 +120,9 @@
 {
 	if (!node)
 		return 0;
-	if (auto *a = N(node)->as_array())
+	if (auto *a = to_node(node)->as_array())
 		return a->size();
-	if (auto *t = N(node)->as_table())
+	if (auto *t = to_node(node)->as_table())
 		return t->size();
 	return 0;
 }
@@ -130,61 +130,62 @@
 // lw_toml_at() - item @i of an array, or NULL.
 extern "C" const lw_toml_node_t *lw_toml_at(const lw_toml_node_t *array, size_t i)
 {
-	if (!array || !N(array)->is_array())
+	if (!array || !to_node(array)->is_array())
 		return nullptr;
-	return C(N(array)->as_array()->get(i));
+	return to_handle(to_node(array)->as_array()->get(i));
 }
 
-// lw_toml_each() - call @fn for each key of @table in document order.
+// lw_toml_each() - calls @fn for each key of @table in document order.
 extern "C" void lw_toml_each(const lw_toml_node_t *table, lw_toml_each_fn fn, void *ctx)
 {
-	if (!table || !N(table)->is_table())
+	if (!table || !to_node(table)->is_table())
 		return;
-	for (auto &&[k, v] : *N(table)->as_table())
-		fn(k.str().data(), k.str().size(), C(&v), ctx);
+	for (auto &&[k, v] : *to_node(table)->as_table())
+		fn(k.str().data(), k.str().size(), to_handle(&v), ctx);
 }
 
-// lw_toml_str() - the bytes of a string value, not NUL-terminated.
+// lw_toml_str() - the bytes of a string, not NUL-terminated; false if @node is
+// no string.
 extern "C" bool lw_toml_str(const lw_toml_node_t *node, const char **ptr, size_t *len)
 {
-	if (!node || !N(node)->is_string())
+	if (!node || !to_node(node)->is_string())
 		return false;
-	const std::string &s = N(node)->as_string()->get();
+	const std::string &s = to_node(node)->as_string()->get();
 	*ptr = s.data();
 	*len = s.size();
 	return true;
 }
 
-// lw_toml_int() - an integer value.
+// lw_toml_int() - an integer; false if @node is no integer.
 extern "C" bool lw_toml_int(const lw_toml_node_t *node, int64_t *out)
 {
-	if (!node || !N(node)->is_integer())
+	if (!node || !to_node(node)->is_integer())
 		return false;
-	*out = N(node)->as_integer()->get();
+	*out = to_node(node)->as_integer()->get();
 	return true;
 }
 
-// lw_toml_float() - a float value; integers are accepted too.
+// lw_toml_float() - a float or an integer; false if @node is neither.
 extern "C" bool lw_toml_float(const lw_toml_node_t *node, double *out)
 {
 	if (!node)
 		return false;
-	if (N(node)->is_floating_point()) {
-		*out = N(node)->as_floating_point()->get();
+	if (to_node(node)->is_floating_point()) {
+		*out = to_node(node)->as_floating_point()->get();
 		return true;
 	}
-	if (N(node)->is_integer()) {
-		*out = (double)N(node)->as_integer()->get();
+	if (to_node(node)->is_integer()) {
+		*out = (double)to_node(node)->as_integer()->get();
 		return true;
 	}
 	return false;
 }
 
-// lw_toml_bool() - a boolean value.
+// lw_toml_bool() - a boolean; false if @node is none.
 extern "C" bool lw_toml_bool(const lw_toml_node_t *node, bool *out)
 {
-	if (!node || !N(node)->is_boolean())
+	if (!node || !to_node(node)->is_boolean())
 		return false;
-	*out = N(node)->as_boolean()->get();
+	*out = to_node(node)->as_boolean()->get();
 	return true;
 }
--- a/tests/decide.h
+++ b/tests/decide.h
@@ -1,6 +1,6 @@
 /*
- * What the scripted runs of the decisions share: the modules of one script, the
- * words of a command, and the groups of commands.
+ * Shared by the scripted tests of decisions: the modules of one script, the
+ * words of a command, and the command tables.
  */
 #ifndef DECIDE_H
 #define DECIDE_H
@@ -11,7 +11,7 @@
 
 #include "bytebuf.h"
 #include "fleetconf.h"
-#include "hotpath.h"
+#include "overload.h"
 #include "lease.h"
 #include "level.h"
 #include "place.h"
@@ -26,7 +26,7 @@
 typedef struct world {
 	lw_fleetconf_t *conf;
 	lw_level_t level;
-	lw_hotpath_t *hot;
+	lw_overload_t *hot;
 	lw_retrylimit_t retries;
 	lw_place_t place;
 	lw_serverset_t *entries;
@@ -52,20 +52,20 @@
 	void (*run)(world_t *w, const words_t *a);
 } command_t;
 
-/* Groups of commands; each ends with an entry without a name. */
+/* Command tables; each ends with an entry without a name. */
 extern const command_t decide_route_commands[];
 extern const command_t decide_retry_commands[];
 extern const command_t decide_place_commands[];
 extern const command_t decide_lease_commands[];
 extern const command_t decide_spread_commands[];
 extern const command_t decide_quarantine_commands[];
-extern const lw_retryterms_t decide_retry_terms;
+extern const lw_retryallowance_t decide_retry_terms;
 
 const char *word(const words_t *a, int i);
 long num(const words_t *a, int i);
 uint64_t ms(const words_t *a, int i);
 bool has(const words_t *a, const char *flag);
-void say(world_t *w, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void emit(world_t *w, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 void decide_head(world_t *w, bool request, char *text);
 
 #endif
--- a/tests/decide_place.c
+++ b/tests/decide_place.c
@@ -1,4 +1,4 @@
-/* Scripted decisions on servers' entries, and placement. */
+/* Script commands for server entries and placement. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -38,42 +38,42 @@
 
 static void do_store_back(world_t *w, const words_t *a)
 {
-	lw_serverset_store_back(w->entries, ms(a, 1), (uint64_t)num(a, 2));
+	lw_serverset_store_reachable(w->entries, ms(a, 1), (uint64_t)num(a, 2));
 }
 
 static void do_store_away(world_t *w, const words_t *a)
 {
-	lw_serverset_store_away(w->entries, ms(a, 1));
+	lw_serverset_store_unreachable(w->entries, ms(a, 1));
 }
 
-/* restoring: the store is back from a copy, which is read now | restored AT ERA REVISION */
+/* restoring: the store was restored from a copy, which is read now | restored AT ERA REVISION */
 static void do_restoring(world_t *w, const words_t *a)
 {
 	(void)a;
-	lw_serverset_restoring(w->entries);
+	lw_serverset_begin_restore(w->entries);
 }
 
 static void do_restored(world_t *w, const words_t *a)
 {
-	lw_serverset_restored(w->entries, ms(a, 1),
-			      lw_storepos((uint32_t)num(a, 2), (uint64_t)num(a, 3)));
+	lw_serverset_end_restore(w->entries, ms(a, 1),
+				 lw_storepos((uint32_t)num(a, 2), (uint64_t)num(a, 3)));
 }
 
-/* seed ID SERVICE ADDR ZONE SLOTS CREATED ...: one server is in use, and no other is known */
+/* seed ID SERVICE ADDR ZONE SLOTS CREATED ...: one server is in use and no other is known */
 static void do_seed(world_t *w, const words_t *a)
 {
 	lw_server_entry_t e = entry_of(a);
 
-	lw_serverset_seed(w->entries, &(lw_serverlist_t){ .servers = &e, .nservers = 1 });
+	lw_serverset_replace(w->entries, &(lw_serverlist_t){ .servers = &e, .nservers = 1 });
 }
 
-/* places ERA REVISION ERA REVISION: whether the second one is later in the store's history */
+/* places ERA REVISION ERA REVISION: whether the second position is later in the store's history */
 static void do_places(world_t *w, const words_t *a)
 {
 	uint64_t first = lw_storepos((uint32_t)num(a, 1), (uint64_t)num(a, 2));
 	uint64_t second = lw_storepos((uint32_t)num(a, 3), (uint64_t)num(a, 4));
 
-	say(w, "%s", second > first ? "later" : "not later");
+	emit(w, "%s", second > first ? "later" : "not later");
 }
 
 static void do_resume(world_t *w, const words_t *a)
@@ -82,23 +82,23 @@
 	lw_serverset_resume(w->entries);
 }
 
-/* services NAME...: those of the configuration */
+/* services NAME...: the services of the configuration */
 static void do_services(world_t *w, const words_t *a)
 {
 	lw_fleetconf_t *fc = lw_fleetconf_new();
 
 	for (int i = 1; i < a->n; i++)
 		lw_fleetconf_add_service(fc, lw_str_c(word(a, i)), LW_STR(""));
-	lw_serverset_know(w->entries, fc);
+	lw_serverset_set_services(w->entries, fc);
 	lw_fleetconf_free(fc);
 }
 
 static void do_reread(world_t *w, const words_t *a)
 {
 	if (strcmp(word(a, 1), "begin") == 0)
-		lw_serverset_begin(w->entries);
+		lw_serverset_begin_read(w->entries);
 	else
-		lw_serverset_end(w->entries);
+		lw_serverset_end_read(w->entries);
 }
 
 static int by_id(const void *x, const void *y)
@@ -108,22 +108,22 @@
 
 static void do_entry_list(world_t *w, const words_t *a)
 {
-	lw_serverlist_t *sl = lw_serverset_changed(w->entries, ms(a, 1));
+	lw_serverlist_t *sl = lw_serverset_take_changes(w->entries, ms(a, 1));
 
 	if (!sl) {
-		say(w, "unchanged");
+		emit(w, "unchanged");
 		return;
 	}
 	qsort(sl->servers, sl->nservers, sizeof(*sl->servers), by_id);
 	for (size_t i = 0; i < sl->nservers; i++)
-		say(w, "%s %s%s", sl->servers[i].id, sl->servers[i].service,
-		    sl->servers[i].draining ? " draining" : "");
+		emit(w, "%s %s%s", sl->servers[i].id, sl->servers[i].service,
+		     sl->servers[i].draining ? " draining" : "");
 	if (!sl->nservers)
-		say(w, "empty");
+		emit(w, "empty");
 	lw_serverlist_free(sl);
 }
 
-/* host ...: as entry, into the list of placement | hosts-apply AT [LAPSED-UNTIL] */
+/* host ...: like entry, added to the list of placement | hosts-apply AT [LAPSED-UNTIL] */
 static void do_host(world_t *w, const words_t *a)
 {
 	w->list.servers =
@@ -146,15 +146,15 @@
 	return NULL;
 }
 
-/* [leaves ID born N] or [takes PER_S] among the words: what the node's backend server announces */
+/* [leaves ID born N] or [takes PER_S] among the words: the announcement of the backend server */
 static lw_notice_t notice_of(const words_t *a)
 {
 	if (has(a, "takes"))
-		return (lw_notice_t){ lw_notice_server(word(a, 1)), 0, false, true,
+		return (lw_notice_t){ lw_notice_server_digest(word(a, 1)), 0, false, true,
 				      atof(word(a, a->n - 1)) };
 	for (int i = 7; i + 3 < a->n; i++)
 		if (strcmp(word(a, i), "leaves") == 0)
-			return (lw_notice_t){ lw_notice_server(word(a, i + 1)),
+			return (lw_notice_t){ lw_notice_server_digest(word(a, i + 1)),
 					      (uint64_t)num(a, i + 3), true, false, 0 };
 	return (lw_notice_t){ 0 };
 }
@@ -168,21 +168,21 @@
 			   .service_us = (uint32_t)num(a, 5) * 1000,
 			   .leaving = has(a, "leaving"),
 			   .notice = notice_of(a) };
-	const lw_place_host_t *leaving =
-		lw_place_node_told(&w->place, host_of(w, word(a, 1))->node, &load, ms(a, 6));
+	const lw_place_host_t *leaving = lw_place_node_load_reported(
+		&w->place, host_of(w, word(a, 1))->node, &load, ms(a, 6));
 
 	if (leaving)
-		say(w, "news: %s leaves", leaving->id);
+		emit(w, "news: %s leaves", leaving->id);
 }
 
-/* vouch ID AT [born N]: the node beside the server says that it lives */
+/* vouch ID AT [born N]: the node of the server asserts that the server is alive */
 static void do_vouch(world_t *w, const words_t *a)
 {
 	uint64_t born = strcmp(word(a, 3), "born") == 0 ? (uint64_t)num(a, 4) : 0;
-	bool again = lw_place_vouched(&w->place, host_of(w, word(a, 1))->node, word(a, 1), born,
-				      ms(a, 2));
+	bool again = lw_place_assert_alive(&w->place, host_of(w, word(a, 1))->node, word(a, 1),
+					   born, ms(a, 2));
 
-	say(w, "%s", again ? "used again" : "no change");
+	emit(w, "%s", again ? "used again" : "no change");
 }
 
 static void do_lost(world_t *w, const words_t *a)
@@ -196,12 +196,12 @@
 	lw_place_host_t *h = host_of(w, word(a, 1));
 
 	for (long i = 0; i < num(a, 3); i++) {
-		lw_place_sent(h);
-		lw_place_ended(h, strcmp(word(a, 2), "ok") == 0, ms(a, 4));
+		lw_place_request_sent(h);
+		lw_place_request_done(h, strcmp(word(a, 2), "ok") == 0, ms(a, 4));
 	}
 }
 
-/* pick SERVICE COUNT BODY AT [not ID]...: how often each host is chosen, loads unchanged */
+/* pick SERVICE COUNT BODY AT [not ID]...: how often each host is chosen, with loads unchanged */
 static void do_pick(world_t *w, const words_t *a)
 {
 	lw_place_service_t *s = lw_place_service(&w->place, word(a, 1));
@@ -213,7 +213,7 @@
 	for (int i = 6; i < a->n; i += 2)
 		tried.host[tried.n++] = host_of(w, word(a, i));
 	for (long i = 0; i < num(a, 2); i++) {
-		lw_place_ask_t ask = { ms(a, 4), num(a, 3), random };
+		lw_place_query_t ask = { ms(a, 4), num(a, 3), random };
 		const lw_place_host_t *pick = lw_place_pick(s, &tried, &ask);
 
 		random = random * 1103515245u + 12345u;
@@ -225,26 +225,29 @@
 	k = 0;
 	for (lw_place_host_t *h = s->hosts; h; h = h->next, k++)
 		if (got[k])
-			say(w, "%s %ld", h->id, got[k]);
+			emit(w, "%s %ld", h->id, got[k]);
 	if (none)
-		say(w, "none %ld", none);
+		emit(w, "none %ld", none);
 }
 
-/* pick-again SERVICE AT [had ID | back ID]...: who gets again what the first had, the others not */
+/*
+ * pick-again SERVICE AT [had ID | back ID]...: the host a request is resent
+ * to, out of those that had it and did not reject it.
+ */
 static void do_pick_again(world_t *w, const words_t *a)
 {
 	lw_place_service_t *s = lw_place_service(&w->place, word(a, 1));
-	lw_place_ask_t ask = { ms(a, 2), 0, 12345 };
+	lw_place_query_t ask = { ms(a, 2), 0, 12345 };
 	lw_place_tried_t tried = { .n = 0 };
 	const lw_place_host_t *pick;
 
 	for (int i = 3; i + 1 < a->n; i += 2) {
-		lw_place_try(&tried, host_of(w, word(a, i + 1)));
+		lw_place_add_tried(&tried, host_of(w, word(a, i + 1)));
 		if (strcmp(word(a, i), "back") == 0)
-			lw_place_handed_back(&tried, host_of(w, word(a, i + 1)));
+			lw_place_mark_rejected(&tried, host_of(w, word(a, i + 1)));
 	}
-	pick = lw_place_pick_again(s, &tried, &ask);
-	say(w, "%s", pick ? pick->id : "none");
+	pick = lw_place_pick_resend(s, &tried, &ask);
+	emit(w, "%s", pick ? pick->id : "none");
 }
 
 const command_t decide_place_commands[] = {
--- a/tests/decide_retry.c
+++ b/tests/decide_retry.c
@@ -1,35 +1,35 @@
-/* Scripted decisions on repeats, admission, waiting and stopping. */
+/* Script commands for retries, admission, waiting and stopping. */
 #include <stdio.h>
 #include <string.h>
 
 #include "admit.h"
-#include "comeback.h"
+#include "retryafter.h"
 #include "decide.h"
 #include "retryrule.h"
 #include "stopplan.h"
 
-const lw_retryterms_t decide_retry_terms = { .ratio = 0.2, .extra = 40, .window_s = 10 };
+const lw_retryallowance_t decide_retry_terms = { .ratio = 0.2, .extra = 40, .window_s = 10 };
 
 /* retry-requests COUNT AT | retry-inherited COUNT AT | retry-take TIMES ABOVE BELOW NODES AT */
 static void do_retry_requests(world_t *w, const words_t *a)
 {
 	for (long i = 0; i < num(a, 1); i++)
-		lw_retrylimit_request(&w->retries, &decide_retry_terms, ms(a, 2));
+		lw_retrylimit_count_request(&w->retries, &decide_retry_terms, ms(a, 2));
 }
 
 static void do_retry_inherited(world_t *w, const words_t *a)
 {
 	for (long i = 0; i < num(a, 1); i++)
-		lw_retrylimit_repeat(&w->retries, &decide_retry_terms, ms(a, 2));
+		lw_retrylimit_count_retry(&w->retries, &decide_retry_terms, ms(a, 2));
 }
 
 static void do_retry_take(world_t *w, const words_t *a)
 {
-	lw_retryplace_t at = { .nodes = (uint32_t)num(a, 4),
-			       .above = (uint32_t)num(a, 2),
-			       .below = (uint32_t)num(a, 3),
-			       .rank = has(a, "urgent") ? 0 : LW_RANKS_PER_PRIORITY,
-			       .urgent = has(a, "urgent") };
+	lw_retryposition_t at = { .nodes = (uint32_t)num(a, 4),
+				  .above = (uint32_t)num(a, 2),
+				  .below = (uint32_t)num(a, 3),
+				  .rank = has(a, "urgent") ? 0 : LW_RANKS_PER_PRIORITY,
+				  .urgent = has(a, "urgent") };
 	long got = 0;
 
 	for (int i = 6; i + 1 < a->n; i++)
@@ -37,19 +37,22 @@
 			at.used_below = (uint32_t)num(a, i + 1);
 	for (long i = 0; i < num(a, 1); i++)
 		got += lw_retrylimit_take(&w->retries, &decide_retry_terms, &at, ms(a, 5));
-	say(w, "%ld", got);
+	emit(w, "%ld", got);
 }
 
-/* retry-used AT: per mille of the share of one of 10 nodes */
+/* retry-used AT: per mille used of the share of one of 10 nodes */
 static void do_retry_used(world_t *w, const words_t *a)
 {
-	say(w, "%u", lw_retrylimit_used(&w->retries, &decide_retry_terms, 10, ms(a, 1)));
+	emit(w, "%u", lw_retrylimit_used(&w->retries, &decide_retry_terms, 10, ms(a, 1)));
 }
 
-/* retry-ranks TIMES BELOW-RANK AT: the last of four levels, one of 10 nodes, ranks of one priority */
+/*
+ * retry-ranks TIMES BELOW-RANK AT: on the last of four levels, at one of 10
+ * nodes, with ranks of one priority.
+ */
 static void do_retry_ranks(world_t *w, const words_t *a)
 {
-	lw_retryplace_t at = { .nodes = 10, .above = 3, .urgent = true };
+	lw_retryposition_t at = { .nodes = 10, .above = 3, .urgent = true };
 	long low = 0, high = 0;
 
 	for (long i = 0; i < num(a, 1); i++) {
@@ -61,7 +64,7 @@
 		else
 			high++;
 	}
-	say(w, "below %ld, others %ld", low, high);
+	emit(w, "below %ld, others %ld", low, high);
 }
 
 static lw_fail_t fail_of(const char *name)
@@ -80,7 +83,7 @@
 	lw_attempts_t t = {
 		.idempotent = has(a, "idempotent"),
 		.nested = has(a, "nested"),
-		.resent = has(a, "resent") ? LW_RESENDS_MAX : 0,
+		.resent = has(a, "resent") ? LW_RESENDS_SHED_MAX : 0,
 		.body_kept = has(a, "kept"),
 		.maybe_ran = has(a, "maybe_ran"),
 		.given = (uint32_t)num(a, 2),
@@ -90,18 +93,18 @@
 	};
 
 	if (strcmp(word(a, 1), "silent") == 0)
-		say(w, "%s", names[lw_retry_silent(&t)]);
+		emit(w, "%s", names[lw_retry_verdict_silent(&t)]);
 	else
-		say(w, "%s", names[lw_retry_verdict(&t, fail_of(word(a, 1)))]);
+		emit(w, "%s", names[lw_retry_verdict(&t, fail_of(word(a, 1)))]);
 }
 
-/* comeback ROOM PRIORITY LEFT: the shortest and the longest wait */
+/* comeback ROOM PRIORITY LEFT: the shortest and the longest retry-after delay */
 static void do_comeback(world_t *w, const words_t *a)
 {
 	uint32_t room = (uint32_t)num(a, 1), prio = (uint32_t)num(a, 2), left = (uint32_t)num(a, 3);
 
-	say(w, "%u to %u ms", lw_comeback_ms(room, prio, left, 0),
-	    lw_comeback_ms(room, prio, left, UINT32_MAX));
+	emit(w, "%u to %u ms", lw_retry_after_ms(room, prio, left, 0),
+	     lw_retry_after_ms(room, prio, left, UINT32_MAX));
 }
 
 /* admit RUNNING QUEUED AHEAD LIMIT SERVICE_MS DEADLINE QUEUE_MS */
@@ -112,18 +115,19 @@
 					  .limit = (uint32_t)num(a, 4),
 					  .service_us = (uint32_t)num(a, 5) * 1000 },
 				.ahead = (uint32_t)num(a, 3),
-				.pace_ms = (uint32_t)num(a, 8) };
-	lw_ask_t ask = { .deadline_ms = (uint32_t)num(a, 6), .queue_ms = (uint32_t)num(a, 7) };
+				.rate_wait_ms = (uint32_t)num(a, 8) };
+	lw_call_request_t ask = { .deadline_ms = (uint32_t)num(a, 6),
+				  .queue_ms = (uint32_t)num(a, 7) };
 
-	say(w, "%s expected_wait=%u may_wait=%u retry_after=%u", lw_fail_name(lw_admit(&st, &ask)),
-	    lw_admit_expected_wait_ms(&st), lw_admit_wait_ms(&st, &ask),
-	    lw_admit_retry_after_ms(&st.load));
+	emit(w, "%s expected_wait=%u may_wait=%u retry_after=%u", lw_fail_name(lw_admit(&st, &ask)),
+	     lw_admit_expected_wait_ms(&st), lw_admit_wait_ms(&st, &ask),
+	     lw_admit_retry_after_ms(&st.load));
 }
 
-/* limit SLOTS: most requests at a backend server at once */
+/* limit SLOTS: concurrency limit of a backend server */
 static void do_limit(world_t *w, const words_t *a)
 {
-	say(w, "%u", lw_admit_limit((uint32_t)num(a, 1)));
+	emit(w, "%u", lw_admit_limit((uint32_t)num(a, 1)));
 }
 
 /* wait NAME PRIORITY EXPIRES | next | expired AT */
@@ -137,7 +141,10 @@
 	lw_waitq_push(&w->queue, &w->waiter[i].w);
 }
 
-/* wait-for NAME PRIORITY EXPIRES TARGET|late: of a user request with that objective */
+/*
+ * wait-for NAME PRIORITY EXPIRES TARGET|late: a call of a user request with
+ * that latency objective.
+ */
 static void do_wait_for(world_t *w, const words_t *a)
 {
 	w->waiter[w->nwaiters].w.late = strcmp(word(a, 4), "late") == 0;
@@ -149,9 +156,9 @@
 {
 	for (size_t i = 0; i < w->nwaiters; i++)
 		if (x == &w->waiter[i].w)
-			say(w, "%s", w->waiter[i].name);
+			emit(w, "%s", w->waiter[i].name);
 	if (!x)
-		say(w, "none");
+		emit(w, "none");
 }
 
 static void do_next(world_t *w, const words_t *a)
@@ -166,9 +173,10 @@
 }
 
 /*
- * stop SINCE GRACE OLDEST [at-work | just-refusing MS]: what a stopping node does
- * then; OLDEST 0: nothing is under way; at-work: its backend server runs requests
- * or may get some; just-refusing: others heard so long ago that nothing is taken
+ * stop SINCE GRACE OLDEST [at-work | just-refusing MS]: the steps of a
+ * stopping node. OLDEST 0: no request is in flight; at-work: the backend
+ * server executes requests or may get some; just-refusing: time since peers
+ * were told that nothing is accepted.
  */
 static void do_stop(world_t *w, const words_t *a)
 {
@@ -176,17 +184,18 @@
 				 has(a, "just-refusing") ? ms(a, 5) : ms(a, 1), has(a, "at-work") };
 	lw_stopplan_t p = lw_stopplan(&state);
 
-	say(w, "%s%s%s%s%s%s", p.tell_peers ? "tell_peers " : "", p.close_idle ? "close_idle " : "",
-	    p.refuse ? "refuse " : "", p.refuse_callers ? "refuse_callers " : "",
-	    p.close_listeners ? "close_listeners " : "", p.exit ? "exit" : "go_on");
+	emit(w, "%s%s%s%s%s%s", p.tell_peers ? "tell_peers " : "",
+	     p.close_idle ? "close_idle " : "", p.refuse ? "refuse " : "",
+	     p.refuse_callers ? "refuse_callers " : "", p.close_listeners ? "close_listeners " : "",
+	     p.exit ? "exit" : "go_on");
 }
 
-/* stop-takes LEFT WAIT LONGEST DEADLINE: whether a stopping node takes such a request */
+/* stop-takes LEFT WAIT LONGEST DEADLINE: whether a stopping node accepts such a request */
 static void do_stop_takes(world_t *w, const words_t *a)
 {
-	bool taken = lw_stopplan_takes(ms(a, 1), ms(a, 2), ms(a, 3), ms(a, 4));
+	bool taken = lw_stopplan_accepts(ms(a, 1), ms(a, 2), ms(a, 3), ms(a, 4));
 
-	say(w, taken ? "taken" : "refused");
+	emit(w, taken ? "taken" : "refused");
 }
 
 const command_t decide_retry_commands[] = {
--- a/tests/test_notice.c
+++ b/tests/test_notice.c
@@ -1,47 +1,48 @@
-/* What backend servers announce in their answers, and who believes it for how long. */
+/* Self-announcements of backend servers, and for how long the nodes act on them. */
 #include <stdio.h>
 #include <string.h>
 
 #include "../platform/names.h"
 #include "lwtest.h"
-#include "pace.h"
+#include "ratelimit.h"
 #include "place.h"
 
 #define ADDR  "10.0.0.1:80"
 #define DEPTH 6
 
-static lw_notice_said_t said_by(const char *head)
+static lw_notice_fields_t fields_of(const char *head)
 {
-	lw_notice_said_t said = { 0 };
+	lw_notice_fields_t said = { 0 };
 
-	lw_notice_in_head(&said, lw_str_c(head), &lw_platform_names);
+	lw_notice_parse_head(&said, lw_str_c(head), &lw_platform_names);
 	return said;
 }
 
 static void test_leaving_in_head(void)
 {
-	CU_ASSERT(said_by("HTTP/1.1 200 X\r\nA: 1\r\nserver-leaving:\t1 \r\nB: 2\r\n").leaving);
-	CU_ASSERT(said_by("HTTP/1.1 200 X\r\nServer-Leaving: 0\r\nServer-Leaving: 1\r\n").leaving);
-	CU_ASSERT_FALSE(said_by("HTTP/1.1 200 X\r\nServer-Leaving: 0\r\n").leaving);
-	CU_ASSERT_FALSE(said_by("HTTP/1.1 200 X\r\nServer-Leaving:\r\n").leaving);
-	CU_ASSERT_FALSE(said_by("HTTP/1.1 200 X\r\nX-Server-Leaving: 1\r\n").leaving);
-	CU_ASSERT_FALSE(said_by("HTTP/1.1 200 Server-Leaving: 1\r\n").leaving);
-	CU_ASSERT_FALSE(said_by("").leaving);
-	CU_ASSERT_FALSE(said_by("HTTP/1.1 200 X\r\nServer-Leaving").leaving);
+	CU_ASSERT(fields_of("HTTP/1.1 200 X\r\nA: 1\r\nserver-leaving:\t1 \r\nB: 2\r\n").leaving);
+	CU_ASSERT(
+		fields_of("HTTP/1.1 200 X\r\nServer-Leaving: 0\r\nServer-Leaving: 1\r\n").leaving);
+	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 X\r\nServer-Leaving: 0\r\n").leaving);
+	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 X\r\nServer-Leaving:\r\n").leaving);
+	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 X\r\nX-Server-Leaving: 1\r\n").leaving);
+	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 Server-Leaving: 1\r\n").leaving);
+	CU_ASSERT_FALSE(fields_of("").leaving);
+	CU_ASSERT_FALSE(fields_of("HTTP/1.1 200 X\r\nServer-Leaving").leaving);
 }
 
-/* What may happen to a host that is used, in any order and any number of times. */
-typedef enum lw_happens {
-	ANSWER_LEAVING, /* an answer that says so is passed on */
-	ANSWER_PLAIN, /* one that does not: an older one, late */
-	NODE_LEAVING, /* the node beside it says so */
-	NODE_PLAIN, /* one that has started anew and knows nothing */
-	NODE_OTHER, /* that of the server that was at the address before */
-	LIST_READY, /* the entry says ready, as in a copy of the store */
-	LIST_WITHOUT, /* the entry has lapsed */
+/* Events at a host in use, in any order and any number of times. */
+typedef enum lw_place_event {
+	ANSWER_LEAVING, /* a response that announces leaving is passed on */
+	ANSWER_PLAIN, /* an older response without the announcement arrives late */
+	NODE_LEAVING, /* the node on its host reports that it is leaving */
+	NODE_PLAIN, /* a restarted node without that state reports */
+	NODE_OTHER, /* the report is about the previous server at the address */
+	LIST_READY, /* the entry is ready, as in a restored copy of the store */
+	LIST_WITHOUT, /* the entry has expired */
 	NODE_LOST,
-	HAPPENS_COUNT
-} lw_happens_t;
+	PLACE_EVENTS
+} lw_place_event_t;
 
 static void apply_list(lw_place_t *p, uint64_t born_ms, uint64_t now_us)
 {
@@ -57,30 +58,30 @@
 static lw_place_host_t *picked(lw_place_t *p, uint64_t now_us)
 {
 	lw_place_tried_t tried = { .n = 0 };
-	lw_place_ask_t ask = { .now_us = now_us };
+	lw_place_query_t ask = { .now_us = now_us };
 
 	return lw_place_pick(lw_place_service(p, "s"), &tried, &ask);
 }
 
-static lw_load_t load_of(lw_happens_t what)
+static lw_load_t load_of(lw_place_event_t what)
 {
 	lw_load_t load = { .limit = 9 };
 
 	if (what == NODE_LEAVING)
-		load.notice = (lw_notice_t){ lw_notice_server("i-1"), 1000, true, false, 0 };
+		load.notice = (lw_notice_t){ lw_notice_server_digest("i-1"), 1000, true, false, 0 };
 	if (what == NODE_OTHER)
-		load.notice = (lw_notice_t){ lw_notice_server("i-1"), 900, true, false, 0 };
+		load.notice = (lw_notice_t){ lw_notice_server_digest("i-1"), 900, true, false, 0 };
 	return load;
 }
 
-/* true once the node is bound by what it passed on */
-static bool happen(lw_place_t *p, lw_place_host_t *h, lw_happens_t what, uint64_t now_us)
+/* true once the node must act on what it passed on */
+static bool apply_event(lw_place_t *p, lw_place_host_t *h, lw_place_event_t what, uint64_t now_us)
 {
 	lw_load_t load = load_of(what);
 
 	switch (what) {
 	case ANSWER_LEAVING:
-		lw_place_leaves(h);
+		lw_place_mark_leaving(h);
 		return true;
 	case LIST_READY:
 		apply_list(p, 1000, now_us);
@@ -92,15 +93,15 @@
 		lw_place_node_lost(p, h->node, true, now_us);
 		return false;
 	case ANSWER_PLAIN:
-		lw_place_told(h, &load, now_us);
+		lw_place_load_reported(h, &load, now_us);
 		return false;
 	default:
-		lw_place_node_told(p, h->node, &load, now_us);
+		lw_place_node_load_reported(p, h->node, &load, now_us);
 		return false;
 	}
 }
 
-/* plays the steps that @run names; false if a rule is broken */
+/* plays the events encoded in @run; false if a rule is violated */
 static bool play(uint32_t run)
 {
 	lw_place_t p;
@@ -108,13 +109,13 @@
 	bool bound = false, good = true;
 	uint64_t now_us = 1000000;
 
-	lw_place_init(&p, "a", "10.0.0.9:80", 7000, (lw_retryterms_t){ 0 });
+	lw_place_init(&p, "a", "10.0.0.9:80", 7000, (lw_retryallowance_t){ 0 });
 	apply_list(&p, 1000, now_us);
 	h = picked(&p, now_us);
-	h->refs++; /* a request of this node is under way there */
-	for (int i = 0; i < DEPTH; i++, run /= HAPPENS_COUNT) {
+	h->refs++; /* a request of this node is in flight at the host */
+	for (int i = 0; i < DEPTH; i++, run /= PLACE_EVENTS) {
 		now_us += 200000;
-		bound |= happen(&p, h, (lw_happens_t)(run % HAPPENS_COUNT), now_us);
+		bound |= apply_event(&p, h, (lw_place_event_t)(run % PLACE_EVENTS), now_us);
 		good &= !bound || !picked(&p, now_us);
 	}
 	apply_list(&p, 2000, now_us);
@@ -123,13 +124,16 @@
 	return good;
 }
 
-/* Guards against a server that gets work after its leaving was passed on, or whose next process gets none. */
+/*
+ * Guards against a server that gets requests after its departure was passed on, or whose
+ * next process gets none.
+ */
 static void test_leaving_in_any_order(void)
 {
 	uint32_t runs = 1, bad = 0;
 
 	for (int i = 0; i < DEPTH; i++)
-		runs *= HAPPENS_COUNT;
+		runs *= PLACE_EVENTS;
 	for (uint32_t run = 0; run < runs; run++)
 		bad += !play(run);
 	CU_ASSERT_EQUAL(bad, 0);
@@ -141,38 +145,38 @@
 					    "inf", "1.",  ".5",	   "1.2.3", "+3",   " " };
 	char head[600], digits[401];
 
-	CU_ASSERT(said_by("HTTP/1.1 200 X\r\nServer-Limit: 15.7\r\n").limited);
-	CU_ASSERT_DOUBLE_EQUAL(said_by("H\r\nserver-limit:15.7\r\n").limit_per_s, 15.7, 1e-9);
-	CU_ASSERT(said_by("H\r\nServer-Limit: 0\r\n").limited);
+	CU_ASSERT(fields_of("HTTP/1.1 200 X\r\nServer-Limit: 15.7\r\n").limited);
+	CU_ASSERT_DOUBLE_EQUAL(fields_of("H\r\nserver-limit:15.7\r\n").limit_per_s, 15.7, 1e-9);
+	CU_ASSERT(fields_of("H\r\nServer-Limit: 0\r\n").limited);
 	for (size_t i = 0; i < sizeof(none) / sizeof(none[0]); i++) {
 		snprintf(head, sizeof(head), "H\r\nServer-Limit: %s\r\n", none[i]);
-		CU_ASSERT_FALSE(said_by(head).limited);
-		CU_ASSERT(said_by(head).limit_invalid);
+		CU_ASSERT_FALSE(fields_of(head).limited);
+		CU_ASSERT(fields_of(head).limit_invalid);
 	}
 	memset(digits, '9', 400);
 	digits[400] = '\0';
 	snprintf(head, sizeof(head), "H\r\nServer-Limit: %s\r\n", digits);
-	CU_ASSERT(said_by(head).limit_invalid);
-	CU_ASSERT_FALSE(said_by("H\r\nServer-Limit: 1\r\nServer-Limit: 2\r\n").limited);
-	CU_ASSERT_FALSE(
-		said_by("H\r\nServer-Limit: 1\r\nServer-Limit: 2\r\nServer-Limit: 3\r\n").limited);
-	CU_ASSERT_FALSE(said_by("H\r\nA: 1\r\n").limit_invalid);
+	CU_ASSERT(fields_of(head).limit_invalid);
+	CU_ASSERT_FALSE(fields_of("H\r\nServer-Limit: 1\r\nServer-Limit: 2\r\n").limited);
+	CU_ASSERT_FALSE(fields_of("H\r\nServer-Limit: 1\r\nServer-Limit: 2\r\nServer-Limit: 3\r\n")
+				.limited);
+	CU_ASSERT_FALSE(fields_of("H\r\nA: 1\r\n").limit_invalid);
 }
 
-/* requests of a run: the first ones are sent together, the others after as many answers */
+/* requests of a run: the first ones are sent together, each other one after a further answer */
 #define ASKED	 5
 #define TOGETHER 3
-/* none, a lower and a higher limit */
-#define WORDS 3
+/* no limit, a lower and a higher limit */
+#define LIMITS 3
 
-static lw_notice_said_t word(uint32_t number)
+static lw_notice_fields_t fields_with_limit(uint32_t number)
 {
-	static const double limits[WORDS] = { 0, 5, 8 };
+	static const double limits[LIMITS] = { 0, 5, 8 };
 
-	return (lw_notice_said_t){ .limited = number > 0, .limit_per_s = limits[number] };
+	return (lw_notice_fields_t){ .limited = number > 0, .limit_per_s = limits[number] };
 }
 
-/* the @k-th order in which @n answers may come */
+/* the @k-th permutation of @n answers */
 static void order_of(uint32_t k, uint32_t n, uint32_t *out)
 {
 	uint32_t left[ASKED];
@@ -193,16 +197,16 @@
 	return l->on ? l->per_s : 1e9;
 }
 
-/* whether an older word raised the limit over a newer one, or the last word does not count */
-static bool play_limits(uint32_t words, uint32_t order)
+/* false if an older answer raised the limit of a newer one, or the last answer does not apply */
+static bool play_limits(uint32_t limits_played, uint32_t order)
 {
 	uint32_t said[ASKED], at[ASKED];
 	lw_notice_limit_t l = { 0 };
-	lw_notice_said_t w;
+	lw_notice_fields_t w;
 	uint32_t newest = 0;
 
-	for (int i = 0; i < ASKED; i++, words /= WORDS)
-		said[i] = words % WORDS;
+	for (int i = 0; i < ASKED; i++, limits_played /= LIMITS)
+		said[i] = limits_played % LIMITS;
 	order_of(order, ASKED, at);
 	for (uint32_t i = 0; i < ASKED; i++) {
 		uint32_t n = at[i];
@@ -210,62 +214,65 @@
 		double before = bound(&l);
 
 		if (sent > i)
-			return true; /* cannot be: answered before it was sent */
-		w = word(said[n]);
-		/* an answer comes a microsecond after what it allows to be sent */
-		lw_notice_limit_hear(&l, &w, 10 * sent + 5, 10 * (i + 1));
+			return true; /* impossible: answered before it was sent */
+		w = fields_with_limit(said[n]);
+		/* a request is sent 5 us after the answer that allows it */
+		lw_notice_limit_from_response(&l, &w, 10 * sent + 5, 10 * (i + 1));
 		if (bound(&l) > before && n < newest && said[newest] > 0 &&
-		    bound(&l) > word(said[newest]).limit_per_s)
+		    bound(&l) > fields_with_limit(said[newest]).limit_per_s)
 			return false;
 		newest = n > newest ? n : newest;
 	}
-	w = word(said[ASKED - 1]);
-	lw_notice_limit_hear(&l, &w, 10 * ASKED + 5, 10 * ASKED + 20);
+	w = fields_with_limit(said[ASKED - 1]);
+	lw_notice_limit_from_response(&l, &w, 10 * ASKED + 5, 10 * ASKED + 20);
 	return l.on == w.limited && l.per_s == w.limit_per_s;
 }
 
-/* Guards against a limit that is lifted by an answer which is older than it, or that holds for good. */
+/* Guards against a limit that is lifted by an answer older than the limit, or that never ends. */
 static void test_limit_in_any_order(void)
 {
 	uint32_t bad = 0;
 
-	for (uint32_t words = 0; words < 243; words++)
+	for (uint32_t limits_played = 0; limits_played < 243; limits_played++)
 		for (uint32_t order = 0; order < 120; order++)
-			bad += !play_limits(words, order);
+			bad += !play_limits(limits_played, order);
 	CU_ASSERT_EQUAL(bad, 0);
 }
 
-/* Guards against a process that starts anew and takes what others remember for newer than the server's word. */
+/*
+ * Guards against a restarted process that takes a limit remembered by other nodes for
+ * newer than the server's own answer.
+ */
 static void test_limit_told_by_others(void)
 {
 	lw_notice_limit_t l = { 0 };
-	lw_notice_said_t none = { 0 };
+	lw_notice_fields_t none = { 0 };
 
-	CU_ASSERT(lw_notice_limit_told(&l, 8));
-	CU_ASSERT(lw_notice_limit_told(&l, 5));
-	CU_ASSERT_FALSE(lw_notice_limit_told(&l, 9));
+	CU_ASSERT(lw_notice_limit_from_peer(&l, 8));
+	CU_ASSERT(lw_notice_limit_from_peer(&l, 5));
+	CU_ASSERT_FALSE(lw_notice_limit_from_peer(&l, 9));
 	CU_ASSERT_DOUBLE_EQUAL(l.per_s, 5, 1e-9);
-	CU_ASSERT(lw_notice_limit_hear(&l, &none, 10, 20));
+	CU_ASSERT(lw_notice_limit_from_response(&l, &none, 10, 20));
 	CU_ASSERT_FALSE(l.on);
-	CU_ASSERT_FALSE(lw_notice_limit_told(&l, 5));
+	CU_ASSERT_FALSE(lw_notice_limit_from_peer(&l, 5));
 }
 
-/* arrivals of the last seconds, by a tenth of a second */
+/* length of the checked span and of the run, in tenths of a second */
 #define TENTHS	       10
 #define SPAN_TEN       (4 * TENTHS)
 #define RUN_TEN	       3000
 #define STEP_US	       100000
 #define ALLOWED(limit) (1.5 * (limit)*4 + 5)
 
-/* Guards against more than a server takes, also as the limit changes and its node starts anew. */
+/* Guards against exceeding a server's limit, also when the limit changes or the node restarts. */
 static void test_pace_in_any_span(void)
 {
 	static uint32_t came[RUN_TEN];
 	uint32_t seed = 7, bad = 0;
-	lw_pace_t p = { 0 };
+	lw_ratelimit_t p = { 0 };
 	double limit = 8, highest[RUN_TEN];
 
-	lw_pace_set(&p, true, limit, 0);
+	lw_ratelimit_set(&p, true, limit, 0);
 	for (uint32_t t = 0; t < RUN_TEN; t++) {
 		uint64_t now = (uint64_t)(t + 1) * STEP_US;
 		uint32_t in_span = 0;
@@ -274,14 +281,15 @@
 		seed = seed * 1664525u + 1013904223u;
 		if ((seed >> 8) % 50 == 0) {
 			limit = (seed >> 16) % 40 / 2.0;
-			lw_pace_set(&p, true, limit, now);
+			lw_ratelimit_set(&p, true, limit, now);
 		} else if ((seed >> 8) % 50 == 1) {
-			p = (lw_pace_t){ 0 };
-			lw_pace_set(&p, true, limit, now);
+			p = (lw_ratelimit_t){ 0 };
+			lw_ratelimit_set(&p, true, limit, now);
 		}
 		came[t] = 0;
-		for (uint32_t asked = (seed >> 12) % 9; asked && lw_pace_ready(&p, now); asked--) {
-			lw_pace_take(&p, now);
+		for (uint32_t asked = (seed >> 12) % 9; asked && lw_ratelimit_ready(&p, now);
+		     asked--) {
+			lw_ratelimit_take(&p, now);
 			came[t]++;
 		}
 		highest[t] = limit;
@@ -294,28 +302,28 @@
 	CU_ASSERT_EQUAL(bad, 0);
 }
 
-/* Guards against a limit that is kept by letting in far less. */
+/* Guards against a limit that is met by admitting far less than it allows. */
 static void test_pace_is_used(void)
 {
-	lw_pace_t p = { 0 };
+	lw_ratelimit_t p = { 0 };
 	uint32_t started = 0;
 
-	lw_pace_set(&p, true, 15.7, 0);
+	lw_ratelimit_set(&p, true, 15.7, 0);
 	for (uint64_t now = 0; now < 20000000; now += 20000)
-		for (; lw_pace_ready(&p, now); started++)
-			lw_pace_take(&p, now);
+		for (; lw_ratelimit_ready(&p, now); started++)
+			lw_ratelimit_take(&p, now);
 	CU_ASSERT(started >= 0.95 * 15.7 * 20);
-	CU_ASSERT_EQUAL(lw_pace_slots(&p, 250000), 4);
-	lw_pace_set(&p, true, 0, 20000000);
-	CU_ASSERT_FALSE(lw_pace_ready(&p, 900000000));
-	CU_ASSERT(lw_pace_wait_ms(&p, 0, 900000000) > 60000);
-	CU_ASSERT_EQUAL(lw_pace_slots(&p, 250000), 1);
-	lw_pace_set(&p, false, 0, 900000000);
-	CU_ASSERT(lw_pace_ready(&p, 900000000));
-	CU_ASSERT_EQUAL(lw_pace_wait_ms(&p, 50, 900000000), 0);
+	CU_ASSERT_EQUAL(lw_ratelimit_slots(&p, 250000), 4);
+	lw_ratelimit_set(&p, true, 0, 20000000);
+	CU_ASSERT_FALSE(lw_ratelimit_ready(&p, 900000000));
+	CU_ASSERT(lw_ratelimit_wait_ms(&p, 0, 900000000) > 60000);
+	CU_ASSERT_EQUAL(lw_ratelimit_slots(&p, 250000), 1);
+	lw_ratelimit_set(&p, false, 0, 900000000);
+	CU_ASSERT(lw_ratelimit_ready(&p, 900000000));
+	CU_ASSERT_EQUAL(lw_ratelimit_wait_ms(&p, 50, 900000000), 0);
 }
 
-/* suite_notice() - registers the suite. */
+/* suite_notice() - register the tests of this file. */
 void suite_notice(void)
 {
 	CU_pSuite s = CU_add_suite("notice", NULL, NULL);
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# make fuzz: every decoder under libFuzzer with AddressSanitizer and UBSan,
-# for a bounded time each (FUZZ_SECONDS, default 20). Seeds: the demo and
-# test documents and frames of every kind. Exits 1 on the first finding.
+# make fuzz: runs every decoder under libFuzzer with AddressSanitizer and
+# UBSan, each for FUZZ_SECONDS seconds (default 20). The seed corpus consists
+# of demo and test documents and sample HTTP heads. Exits with 1 on the first
+# finding.
 set -e
 SECONDS_EACH=${FUZZ_SECONDS:-20}
 OUT=build/fuzz
@@ -9,7 +10,7 @@
 SAN="-g -O1 -fsanitize=fuzzer-no-link,address,undefined -fno-sanitize-recover=undefined"
 INC="-D_GNU_SOURCE -Isrc"
 mkdir -p $OUT
-SRC="xalloc lwstr status log platconf settings tomlkeys frame lw.pb-c request linux/clock httpd linux/sock bytebuf httphead notice hotpath hotwork hots level call fleetconf mesh.pb-c revdoc docfetch meshframe organisation credential"
+SRC="xalloc lwstr status log platconf settings tomlkeys frame lw.pb-c request linux/clock httpd linux/sock bytebuf httphead notice overload overloadcost pathlevels level call fleetconf mesh.pb-c revdoc docfetch meshframe organisation credential"
 OBJS=""
 for f in $SRC; do
 	o=$OUT/$(echo "$f" | tr / _).o
