--- a/src/admission.c
+++ b/src/admission.c
@@ -4,8 +4,8 @@
 #include <math.h>
 #include <string.h>
 
-#define RESERVE_MS	   1000 /* how long slots stay reserved after the last critical request */
-#define ESTIMATE_MS	   1000 /* how long the latency of an idle backend server is considered valid */
+#define RESERVE_MS	   1000 /* slots stay reserved this long after a more critical request */
+#define ESTIMATE_MS	   1000 /* the latency of an idle backend server is valid this long */
 #define RETRY_AFTER_MIN_MS 100
 #define RETRY_AFTER_MAX_MS 2000
 
@@ -195,8 +195,8 @@
 /*
  * lw_admission_retry_after() - the retry-after delay of a refused request of
  * class @cls, in ms: the time in which the requests in flight and queued are
- * completed, longer for less critical classes so that they do not return
- * first.
+ * completed, longer for less critical classes so that requests of more
+ * critical classes return first.
  */
 uint32_t lw_admission_retry_after(const lw_admission_t *a, lw_class_t cls)
 {
--- a/src/admit.c
+++ b/src/admit.c
@@ -72,7 +72,8 @@
 /*
  * lw_admit_retry_after_ms() - the retry-after delay: the expected time in
  * which the backend server completes the requests that are executing or
- * queued now.
+ * queued now, or the time until its announced rate limit permits one more
+ * request than those queued, whichever is longer.
  */
 uint32_t lw_admit_retry_after_ms(const lw_load_t *load)
 {
--- a/src/fanout.c
+++ b/src/fanout.c
@@ -127,8 +127,8 @@
 }
 
 /*
- * A random delay, so that the updates read by the first nodes reach the
- * others before all of them read the store.
+ * A delay derived from the address, so that the updates read by the first
+ * nodes reach the others before all of them read the store.
  */
 static uint32_t stagger_ms(const char *backend)
 {
--- a/src/fanout.h
+++ b/src/fanout.h
@@ -22,7 +22,7 @@
 #define LW_FANOUT_READERS 2
 /* Nodes that replace the readers when these are silent. */
 #define LW_FANOUT_SUBSTITUTES 2
-/* Most children of a node in one tree. */
+/* Maximum number of children of a node in one tree. */
 #define LW_FANOUT_DEGREE 6
 /* A node can be a reader, and an inner node of two trees in its zone and of two between zones. */
 #define LW_FANOUT_CHILDREN_MAX (6 * LW_FANOUT_DEGREE)
@@ -48,7 +48,7 @@
 #define LW_FANOUT_SUBSTITUTES_MS 200
 /* and distribute their reads over this time, ms */
 #define LW_FANOUT_STAGGER_MS 300
-/* rank of a node that is neither reader nor substitute */
+/* rank of a node whose backend server is not listed: it is neither reader nor substitute */
 #define LW_FANOUT_NO_RANK UINT32_MAX
 
 void lw_fanout_plan(const lw_serverlist_t *sl, const char *backend, const char *zone,
--- a/src/guard_in.c
+++ b/src/guard_in.c
@@ -45,7 +45,10 @@
 	free(c);
 }
 
-/* guard_in_refuse() - @c was not executed: a retry of it may be, so its records are removed. */
+/*
+ * guard_in_refuse() - refuse @c, which was not executed. Its records are
+ * removed, so that a retry may be executed.
+ */
 void guard_in_refuse(guard_t *g, guard_in_call_t *c, lw_reason_t why, lw_effects_t *out)
 {
 	lw_records_forget(g->by_idem_key, c->idem_key);
@@ -132,7 +135,7 @@
 	}
 }
 
-/* answer @ev from a record of its key; false if there is none */
+/* answer @ev from the record of @key in @table; false if there is none */
 static bool from_record(guard_t *g, const lw_event_t *ev, lw_records_t *table, lw_key_t key,
 			lw_effects_t *out)
 {
--- a/src/guard_int.h
+++ b/src/guard_int.h
@@ -24,7 +24,7 @@
 	uint32_t budget; /* retries left for the calls it makes */
 	uint32_t depth;
 	bool running; /* executing at the backend server, not queued */
-	bool child_failed; /* a call made by the request failed and was retried there */
+	bool child_failed; /* a call made by the request failed, after any retries */
 	UT_hash_handle hh;
 } guard_in_call_t;
 
@@ -33,7 +33,7 @@
 	uint64_t parent; /* inbound call that the budget was borrowed from, or 0 */
 	uint32_t service;
 	bool idempotent;
-	bool maybe_ran; /* the outcome of an earlier attempt is unknown, so "not run" must not be answered */
+	bool maybe_ran; /* an attempt has an unknown outcome: never answer "not run" */
 	uint64_t deadline_at;
 	lw_user_budget_t budget;
 	uint32_t depth;
--- a/src/guard_out.c
+++ b/src/guard_out.c
@@ -10,7 +10,7 @@
 #include "log.h"
 #include "xalloc.h"
 
-#define CALLS_MAX	1024 /* most outbound calls open at once */
+#define CALLS_MAX	1024 /* maximum number of outbound calls open at once */
 #define MIN_ATTEMPT_MS	2 /* no attempt is made with less time left */
 #define PROBE_LATENCIES 4.0 /* ask the peer after a silence of this many usual latencies */
 #define PROBE_MIN_MS	50
@@ -176,7 +176,7 @@
 	update_peer(g, ev, out);
 	HASH_FIND(hh, g->out, &ev->id, sizeof(ev->id), c);
 	if (!c || c->peer != ev->peer) {
-		/* the call was answered already: drop the reply */
+		/* the call was answered already, or is retried at another peer: drop the reply */
 		g->base.stats.late_replies++;
 		lw_effects_log(out, LW_LOG_late_reply_dropped, (int64_t)ev->id, ev->peer);
 		return;
--- a/src/level.h
+++ b/src/level.h
@@ -44,7 +44,7 @@
 	float rank_average[LW_LEVEL_BINS]; /* moving average of arrivals per step, by rank */
 	uint32_t arrivals; /* arrivals in the current step */
 	uint16_t rank_count[LW_LEVEL_BINS]; /* arrivals in the current step, by rank */
-	double demand; /* moving average of the slots that the arrivals need, divided by the limit */
+	double demand; /* moving average: slots that the arrivals need, divided by the limit */
 	uint32_t hold_steps; /* steps until the level may be lowered again */
 } lw_level_t;
 
--- a/src/overload.c
+++ b/src/overload.c
@@ -36,7 +36,10 @@
  * this much, as reported ages are whole milliseconds. In microseconds.
  */
 #define REPORT_NEWER_US 2000
-/* most routes whose levels are kept; requests of further routes are refused by the servers only */
+/*
+ * Maximum number of routes whose levels are kept; requests of further routes
+ * are refused by the servers only.
+ */
 #define ROUTES_MAX 4096
 
 /* lw_overload_new() - an empty state, which refuses nothing. */
@@ -130,9 +133,9 @@
 }
 
 /*
- * The reported level, at most one priority above the current one: a caller of
- * a service that reports LW_LEVEL_ADMIT_ALL may have seen only a small part
- * of it.
+ * The reported level. A report of LW_LEVEL_ADMIT_ALL counts as a level at
+ * most one priority above the current one, because the caller of the service
+ * that reports it may have seen only a small part of the service.
  */
 static double capped_level(const lw_service_level_t *hot, double level)
 {
@@ -178,10 +181,10 @@
 /*
  * lw_overload_on_report() - another node reported a level. A newer report
  * replaces an older one, so that it reaches other nodes with any answer that
- * is sent next. By the answers of the requests that reached the overloaded
- * service alone, an entry node four services above it would learn of the
- * overload only when those requests end, after a second and a half in a full
- * queue.
+ * is sent next. If only the answers of the requests that reached the
+ * overloaded service reported its level, an entry node four services above
+ * that service would learn of the overload only when those requests end,
+ * after a second and a half in a full queue.
  */
 void lw_overload_on_report(lw_overload_t *p, const lw_level_report_t *h, uint64_t now_us)
 {
--- a/src/overload.h
+++ b/src/overload.h
@@ -21,7 +21,7 @@
 	uint32_t work_us; /* execution time of the request and its calls at the service */
 } lw_service_level_t;
 
-/* Most services in lw_path_levels_t; those with the highest levels are left out. */
+/* Maximum number of services in lw_path_levels_t; those with the highest levels are left out. */
 #define LW_PATH_LEVELS_MAX 8
 
 typedef struct lw_path_levels {
--- a/src/place.c
+++ b/src/place.c
@@ -25,10 +25,10 @@
 /* a host whose requests all fail costs as much as one whose load is higher by this factor */
 #define COST_FAILING 20.0
 /*
- * One choice in this many considers the utilisation only, so that a server
- * that was slow is tried again, and one that has joined gets work from other
- * hosts before it is needed. Otherwise half of the servers that join at low
- * load get no requests.
+ * One choice in this many considers the utilisation but not the speed of the
+ * servers, so that a server that was slow is tried again, and one that has
+ * joined gets work from other hosts before it is needed. Otherwise half of
+ * the servers that join at low load get no requests.
  */
 #define EXPLORE_ONE_IN 32
 /* costs are randomised by up to this share, so that nodes do not all choose the same host */
@@ -105,7 +105,7 @@
 			tried->rejected[i] = true;
 }
 
-/* seconds of work queued at a host with a rate limit, relative to the limit */
+/* seconds until the requests queued at a host and one more may start under its rate limit */
 static double rate_use(const lw_place_host_t *h, bool known)
 {
 	uint32_t waiting = known ? h->load.queued + h->sent : h->inflight;
@@ -113,7 +113,10 @@
 	return (waiting + 1.0) / fmax(h->load.notice.limit_per_s, RATE_MIN_PER_S);
 }
 
-/* part of the slots of a host in use, by its last load report and the requests sent since */
+/*
+ * Part of the slots of a host that are in use with one more request, by its
+ * last load report and the requests sent since; rate_use() if that is more.
+ */
 static double host_use(const lw_place_host_t *h, bool known)
 {
 	uint32_t busy = known ? h->load.running + h->load.queued + h->sent : h->inflight;
@@ -331,8 +334,8 @@
  * a request now, NULL if there is none. With @load_known a host whose load is
  * unknown does not count. Only for a host with room is it worth giving up a
  * call that may still be answered: of 50 slow reads during the stop of a
- * node, 14 to 23 were given up for a node that had exited and failed,
- * although their server was still executing them.
+ * node, 14 to 23 were given up in favour of a node that had exited; they
+ * failed although their server was still executing them.
  */
 lw_place_host_t *lw_place_pick_room(const lw_place_service_t *s, const lw_place_tried_t *tried,
 				    const lw_place_query_t *ask, bool load_known)
--- a/src/place.h
+++ b/src/place.h
@@ -35,7 +35,7 @@
 	double failures; /* moving average; 0: none failed, 1: all failed */
 	uint64_t failures_us; /* when the last outcome was counted */
 	uint64_t suspect_until_us; /* until then it gets new work only as a last resort */
-	uint64_t replaced_until_us; /* until then: another server has its address */
+	uint64_t replaced_until_us; /* no work until then: another server has its address */
 	uint32_t backoff_ms; /* length of the last suspect period */
 	uint32_t refs;
 	struct lw_place_host *next; /* next host of the same service */
--- a/src/placelist.c
+++ b/src/placelist.c
@@ -152,8 +152,8 @@
  * belongs to a process: another server at the same address, or the same one
  * restarted, starts with empty state. If an entry is missing and its server
  * was not draining, either its lease expired or the server left. The host is
- * used until @lapsed_until_us, the time for which a server that left may
- * still get work; by then its node reports which of the two it is.
+ * used until @lapsed_until_us, the latest time at which a server that left
+ * may still get work; by then its node has reported which of the two it is.
  */
 void lw_place_update(lw_place_t *p, const lw_serverlist_t *sl, uint64_t now_us,
 		     uint64_t lapsed_until_us)
--- a/src/retryafter.c
+++ b/src/retryafter.c
@@ -1,7 +1,7 @@
 /* The retry-after delay of a refused caller; see retryafter.h. */
 #include "retryafter.h"
 
-/* retries are spread over the time until capacity is expected times this factor */
+/* delays are spread from the time until capacity is expected to this many times that time */
 #define SPREAD_FACTOR 2
 /*
  * Each priority waits this much longer than the next more urgent one,
@@ -10,7 +10,7 @@
 #define PRIORITY_PERCENT 30
 /* a caller waits at most this part (1/n) of the time it has left */
 #define LEFT_DIVISOR 3
-/* shortest delay; below it the time that the answer travels dominates, ms */
+/* shortest delay; below it the travel time of the answer dominates, ms */
 #define RETRY_AFTER_MIN_MS 20
 
 /*
--- a/src/retrylimit.c
+++ b/src/retrylimit.c
@@ -11,8 +11,8 @@
  * the calls below use little of the allowance; every answer reports what they
  * use. So a fault of the last level alone may use nearly all of the
  * allowance: in the model of a leaf that sheds half of its calls
- * (shedding_leaf.toml) 90.2% of the urgent requests meet their target, with a
- * part of 0.60 only 85.7% (mean of four seeds).
+ * (shedding_leaf.toml) 90.2% of the urgent requests meet their latency
+ * objective, with a part of 0.60 only 85.7% (mean of four seeds).
  */
 #define LAST_LEVEL_PART	  0.80
 #define UPPER_LEVELS_PART 0.30
@@ -36,8 +36,9 @@
  * retries only the lowest ranks, as many as the share permits: a request with
  * five calls of which half fail needs several retries to succeed, so retries
  * that are distributed over all requests save hardly any. In the model
- * (shedding_leaf.toml) 90.3% of the urgent requests meet their target, with
- * distribution over all requests 84.7% (mean of three seeds).
+ * (shedding_leaf.toml) 90.3% of the urgent requests meet their latency
+ * objective, with retries distributed over all requests 84.7% (mean of three
+ * seeds).
  */
 #define ANY_RANK_PART 0.10
 /* the part of a slice's share that the lowest ranks together may use */
--- a/src/retryrule.h
+++ b/src/retryrule.h
@@ -14,8 +14,8 @@
 typedef enum lw_verdict {
 	LW_VERDICT_RETRY_OTHER, /* try another backend server; not counted as a retry */
 	LW_VERDICT_RETRY_OTHER_COUNTED, /* the same, if the retry allowance permits */
-	LW_VERDICT_RESEND_SAME, /* resend to a server that had it; the undelivered attempt was counted */
-	LW_VERDICT_RESEND_SAME_COUNTED, /* resend to a server that had it, if the allowance permits */
+	LW_VERDICT_RESEND_SAME, /* resend to one that had it; counted with the undelivered attempt */
+	LW_VERDICT_RESEND_SAME_COUNTED, /* resend to one that had it, if the allowance permits */
 	LW_VERDICT_REFUSE, /* not executed: the caller may retry */
 	LW_VERDICT_FAIL, /* it may have been executed */
 	LW_VERDICT_TIMEOUT, /* it may have been executed and its deadline has passed */
@@ -34,20 +34,20 @@
 	uint32_t left_ms; /* time the caller has left */
 } lw_attempts_t;
 
-/* Most attempts that reach no backend server before the caller is refused. */
+/* Maximum number of attempts that reach no backend server before the caller is refused. */
 #define LW_UNDELIVERED_MAX 3
 /*
- * Most times a call is resent to a backend server that shed it, besides the
- * attempts of the route. Where a server sheds 55% of its requests, a request
- * with four calls succeeds in 68 of 100 cases with four tries per call, and
- * in 90 with six.
+ * How often a call is resent at most to a backend server that shed it, besides
+ * the attempts of the route. Where a server sheds 55% of its requests, a
+ * request with four calls succeeds in 68 of 100 cases with four tries per
+ * call, and in 90 with six.
  */
 #define LW_RESENDS_SHED_MAX 4
 /*
- * Most times an idempotent call is resent to a server that lost its answer.
- * Where two of three servers lose four of ten answers, a request with eight
- * calls succeeds in 65 of 100 cases with two tries per call, and in 98 with
- * four.
+ * How often an idempotent call is resent at most to a server that lost its
+ * answer. Where two of three servers lose four of ten answers, a request with
+ * eight calls succeeds in 65 of 100 cases with two tries per call, and in 98
+ * with four.
  */
 #define LW_RESENDS_BROKEN_MAX 2
 
--- a/src/stopplan.h
+++ b/src/stopplan.h
@@ -28,7 +28,7 @@
 	uint64_t since_us; /* time since SIGTERM */
 	uint64_t grace_us; /* time from SIGTERM to SIGKILL */
 	uint64_t oldest_us; /* age of the oldest request in flight; 0: none */
-	uint64_t refusing_us; /* since peers were told that nothing is accepted; 0: they were not */
+	uint64_t refusing_us; /* time since peers were told that nothing is accepted; 0: not told */
 	bool at_work; /* the backend server executes requests, or may still receive some */
 } lw_stopstate_t;
 
--- a/src/waitq.h
+++ b/src/waitq.h
@@ -1,9 +1,9 @@
 /*
- * The order in which requests wait for the backend server, for load that
- * exceeds its slots and consists of kinds that can wait for different times
- * and of successive calls for the same user request. The most urgent priority
- * goes first. Within a priority, requests whose user request can still meet
- * its latency objective go before those that are late in any case, then the
+ * The order in which requests wait for the backend server when the load
+ * exceeds its slots. Requests differ in how long they can wait, and some are
+ * successive calls for the same user request. The most urgent priority goes
+ * first. Within a priority, requests whose user request can still meet its
+ * latency objective go before those that are late in any case, then the
  * request whose objective ends soonest: work in progress is completed before
  * new work is started.
  */
--- a/tests/decide_place.c
+++ b/tests/decide_place.c
@@ -6,7 +6,10 @@
 #include "storepos.h"
 #include "xalloc.h"
 
-/* entry ID SERVICE ADDR ZONE SLOTS CREATED [draining] [born N] [era N] | entry-gone ID | entry-list AT ... */
+/*
+ * entry ID SERVICE ADDR ZONE SLOTS CREATED [draining] [born N] [era N] |
+ * entry-gone ID [REVISION] | entry-list AT
+ */
 static lw_server_entry_t entry_of(const words_t *a)
 {
 	lw_server_entry_t e = { .slots = (uint32_t)num(a, 5), .created = (uint64_t)num(a, 6) };
@@ -36,6 +39,7 @@
 	lw_serverset_remove(w->entries, word(a, 1), (uint64_t)num(a, 2));
 }
 
+/* store-back AT [REVISION]: the store is reachable | store-away AT: it is not */
 static void do_store_back(world_t *w, const words_t *a)
 {
 	lw_serverset_store_reachable(w->entries, ms(a, 1), (uint64_t)num(a, 2));
@@ -185,6 +189,7 @@
 	emit(w, "%s", again ? "used again" : "no change");
 }
 
+/* lost ID AT [tried]: the connection to the node was lost; tried: it was only attempted */
 static void do_lost(world_t *w, const words_t *a)
 {
 	lw_place_node_lost(&w->place, host_of(w, word(a, 1))->node, !has(a, "tried"), ms(a, 2));
--- a/tests/decide_quarantine.c
+++ b/tests/decide_quarantine.c
@@ -20,7 +20,10 @@
 		emit(w, "nothing to tell");
 }
 
-/* ended REQUEST PROCESS AT [tried]: the process crashed while it executed the request */
+/*
+ * ended REQUEST PROCESS AT [tried]: the process crashed while it executed the
+ * request; tried: the request was executed alone.
+ */
 static void do_ended(world_t *w, const words_t *a)
 {
 	lw_fingerprint_t p = print_of(a, 1);
@@ -38,8 +41,8 @@
 }
 
 /*
- * heard-of REQUEST ended AT by PROCESS trials N held UNTIL | REQUEST cleared
- * AT: a report of another node; the last word is the current time.
+ * heard-of REQUEST ended AT by PROCESS trials N held UNTIL NOW | heard-of
+ * REQUEST cleared AT NOW: a report of another node.
  */
 static void do_heard_of(world_t *w, const words_t *a)
 {
@@ -92,8 +95,8 @@
 }
 
 /*
- * trial-host ENDED-ID...: the host of the current list on which a request is
- * tried after these servers crashed.
+ * trial-host SERVICE [ID]...: the host of the service on which a request is
+ * tried after the servers with these ids crashed.
  */
 static void do_trial_host(world_t *w, const words_t *a)
 {
--- a/tests/decide_retry.c
+++ b/tests/decide_retry.c
@@ -10,7 +10,10 @@
 
 const lw_retryallowance_t decide_retry_terms = { .ratio = 0.2, .extra = 40, .window_s = 10 };
 
-/* retry-requests COUNT AT | retry-inherited COUNT AT | retry-take TIMES ABOVE BELOW NODES AT */
+/*
+ * retry-requests COUNT AT | retry-inherited COUNT AT | retry-take TIMES ABOVE
+ * BELOW NODES AT [urgent] [below-uses PERMILLE]
+ */
 static void do_retry_requests(world_t *w, const words_t *a)
 {
 	for (long i = 0; i < num(a, 1); i++)
@@ -75,7 +78,10 @@
 	return LW_FAIL_NONE;
 }
 
-/* verdict WHY|silent GIVEN MAX HANDED_BACK LEFT [idempotent] [kept] [maybe_ran] [nested] [resent] */
+/*
+ * verdict WHY|silent GIVEN MAX HANDED_BACK LEFT [idempotent] [kept]
+ * [maybe_ran] [nested] [resent]
+ */
 static void do_verdict(world_t *w, const words_t *a)
 {
 	static const char *const names[] = { "again",  "again_counted", "same",	  "same_counted",
@@ -107,7 +113,7 @@
 	     lw_retry_after_ms(room, prio, left, UINT32_MAX));
 }
 
-/* admit RUNNING QUEUED AHEAD LIMIT SERVICE_MS DEADLINE QUEUE_MS */
+/* admit RUNNING QUEUED AHEAD LIMIT SERVICE_MS DEADLINE QUEUE_MS [RATE_WAIT_MS] */
 static void do_admit(world_t *w, const words_t *a)
 {
 	lw_admit_state_t st = { .load = { .running = (uint32_t)num(a, 1),
--- a/tests/decide_route.c
+++ b/tests/decide_route.c
@@ -138,7 +138,6 @@
 	emit(w, "level %u queue_ms %.0f", w->level.level, queue * service_us / limit / 1000);
 }
 
-/* hot-told ROUTE AT DEPTH [SERVICE LEVEL]... | hot-admits ROUTE RANK AT | hot-depth ROUTE */
 static void add_hot(lw_path_levels_t *hots, const words_t *a, int i, uint32_t work_us)
 {
 	lw_service_level_t hot = { .level = (uint32_t)num(a, i + 1), .work_us = work_us };
@@ -189,6 +188,10 @@
 		emit(w, "none");
 }
 
+/*
+ * hot-told ROUTE AT DEPTH [SERVICE LEVEL]...: an answer reported these levels
+ * | hot-admits ROUTE RANK AT | hot-depth ROUTE
+ */
 static void do_hot_told(world_t *w, const words_t *a)
 {
 	lw_path_levels_t hots = { .n = 0 };
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -213,7 +213,7 @@
 }
 
 /*
- * Guards against a limit of the effect list. A surge fills the admission
+ * Guards against a fixed size of the effect list. A surge fills the admission
  * queue, all entries exceed the queue bound between two ticks, and one tick
  * answers them all. A list of 32 entries overflowed and aborted the node
  * ("effect list overflow" in its log; thousands of lookups not_run in the
