--- a/src/overload_int.h
+++ b/src/overload_int.h
@@ -33,7 +33,7 @@
 	struct {
 		lw_overload_service_t *service;
 		uint64_t seen_us;
-		double work_us; /* moving average: execution time of a request and its calls there */
+		double work_us; /* moving average: time a request and its calls execute there */
 	} downstream[LW_PATH_LEVELS_MAX];
 	UT_hash_handle hh;
 } lw_overload_route_t;
--- a/src/retryrule.h
+++ b/src/retryrule.h
@@ -14,8 +14,8 @@
 typedef enum lw_verdict {
 	LW_VERDICT_RETRY_OTHER, /* try another backend server; not counted as a retry */
 	LW_VERDICT_RETRY_OTHER_COUNTED, /* the same, if the retry allowance permits */
-	LW_VERDICT_RESEND_SAME, /* resend to one that had it; counted with the undelivered attempt */
-	LW_VERDICT_RESEND_SAME_COUNTED, /* resend to one that had it, if the allowance permits */
+	LW_VERDICT_RESEND_SAME, /* resend to a server that had it; the undelivered try was counted */
+	LW_VERDICT_RESEND_SAME_COUNTED, /* resend to a server that had it, if the allowance permits */
 	LW_VERDICT_REFUSE, /* not executed: the caller may retry */
 	LW_VERDICT_FAIL, /* it may have been executed */
 	LW_VERDICT_TIMEOUT, /* it may have been executed and its deadline has passed */
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -123,7 +123,7 @@
 	memset(res, 0, sizeof(*res));
 	for (uint64_t now = 0; now < MODEL_MS; now++) {
 		/*
-		 * The capacity is 0.8 requests/ms and 2.4/ms are offered,
+		 * The capacity is 0.8 requests/ms; 2.4/ms (3x) are offered,
 		 * three quarters of them sheddable.
 		 */
 		for (int k = 0; k < 3; k++) {
