--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -123,7 +123,7 @@
 	memset(res, 0, sizeof(*res));
 	for (uint64_t now = 0; now < MODEL_MS; now++) {
 		/*
-		 * The capacity is 0.8 requests/ms and 2.4/ms are offered,
+		 * The capacity is 0.8 requests/ms; 2.4/ms (3x) are offered,
 		 * three quarters of them sheddable.
 		 */
 		for (int k = 0; k < 3; k++) {
@@ -213,7 +213,7 @@
 }
 
 /*
- * Guards against a limit of the effect list. A surge fills the admission
+ * Guards against a fixed size of the effect list. A surge fills the admission
  * queue, all entries exceed the queue bound between two ticks, and one tick
  * answers them all. A list of 32 entries overflowed and aborted the node
  * ("effect list overflow" in its log; thousands of lookups not_run in the
