--- a/src/fingerprint.c
+++ b/src/fingerprint.c
@@ -39,7 +39,7 @@
  * lw_fingerprinter_begin() - start the digest of the request with @head: its request line
  * and header lines, which end in CRLF. Of the header lines only the host and @org_header
  * are covered: a request of one organisation must not hold back an equal request of
- * another one. Some other headers differ in every request.
+ * another one. The other headers are left out, as some of them differ in every request.
  */
 void lw_fingerprinter_begin(lw_fingerprinter_t *f, lw_str_t head, const char *org_header)
 {
--- a/src/lease.c
+++ b/src/lease.c
@@ -6,7 +6,10 @@
  * LW_LEASE_PENDING_US and the server answers in milliseconds, us.
  */
 #define EVIDENCE_WAIT_US 1200000
-/* the server is queried twice a second; two missed answers are tolerated, us */
+/*
+ * How long a report that the server is healthy counts: the server is queried twice a
+ * second, and two missed answers are tolerated, us.
+ */
 #define HEALTH_VALID_US 1600000
 /*
  * A failed call to the store counts if it came at most this long before the entry was
@@ -20,9 +23,9 @@
 #define REREGISTER_US 1800000
 /*
  * If the store is read again within EVIDENCE_WAIT_US after the entry was missed, the entry
- * may equally be that of a server that left. The server then counts as gone this long
- * after its entry was missed: the store update takes 0.75 s to arrive, and this is what
- * remains of the drain time, us.
+ * may equally be that of a server that left. Unless the server re-registers, it then counts
+ * as gone this long after its entry was missed: the store update takes 0.75 s to arrive, and
+ * this is what remains of the drain time, us.
  */
 #define SHORT_OUTAGE_US 1000000
 
--- a/src/lease.h
+++ b/src/lease.h
@@ -26,7 +26,7 @@
 /* Reason for the current state, for the log. */
 typedef enum lw_lease_cause {
 	LW_LEASE_CAUSE_LIST, /* the entry is or is not in the server list */
-	LW_LEASE_CAUSE_SERVER, /* the server reports that it is leaving, or another server answers */
+	LW_LEASE_CAUSE_SERVER, /* the server must not be used: lw_lease_evidence_t.leaving */
 	LW_LEASE_CAUSE_STORE, /* the store was read, or could not be read */
 	LW_LEASE_CAUSE_TIME, /* no evidence arrived in time */
 } lw_lease_cause_t;
@@ -46,7 +46,8 @@
 	uint64_t store_failed_us; /* last failed read of the store */
 	bool pending; /* a call to the store has been unanswered for LW_LEASE_PENDING_US */
 	uint64_t healthy_us; /* last time the server reported that it is healthy */
-	bool leaving; /* the server is leaving, refuses connections, or has been replaced */
+	/* the server reports that it is leaving or unhealthy, refuses connections, or was replaced */
+	bool leaving;
 } lw_lease_evidence_t;
 
 /* A call to the store that takes longer than this counts as failing, us. */
--- a/src/notice.c
+++ b/src/notice.c
@@ -84,9 +84,9 @@
 }
 
 /*
- * lw_notice_parse_head() - do the same for all header lines of @head, which end in CRLF.
- * The node that passes a response on parses the header itself, as the node on the server's
- * host may run a version that does not.
+ * lw_notice_parse_head() - add the announcements in all header lines of @head, which end
+ * in CRLF, to @fields. The node that passes a response on parses the head itself, as the
+ * node on the server's host may run a version that does not.
  */
 void lw_notice_parse_head(lw_notice_fields_t *fields, lw_str_t head, const lw_wirenames_t *names)
 {
--- a/src/notice.h
+++ b/src/notice.h
@@ -25,7 +25,7 @@
 typedef struct lw_notice_limit {
 	bool on;
 	double per_s;
-	uint64_t updated_us; /* time of the newest response; 0: none received */
+	uint64_t updated_us; /* when the last response was applied; 0: none was */
 } lw_notice_limit_t;
 
 /* What is known about one process of a backend server. */
--- a/src/organisation.c
+++ b/src/organisation.c
@@ -113,8 +113,8 @@
 
 /*
  * lw_orgs_seal() - build the hash table; call once after the last key is added.
- * LW_ERR_CONFIG if two organisations have the same key, as its requests could not be
- * attributed.
+ * LW_ERR_CONFIG if two organisations have the same key, as requests with that key could
+ * not be attributed to either.
  */
 lw_status_t lw_orgs_seal(lw_orgs_t *o)
 {
--- a/src/organisation.h
+++ b/src/organisation.h
@@ -18,7 +18,7 @@
 /* Priority of an organisation that specifies none. */
 #define LW_ORG_PRIORITY_DEFAULT 1
 
-/* Longer keys never match, in bytes. */
+/* Longest key, in bytes; longer ones never match. */
 #define LW_ORG_KEY_MAX 256
 
 typedef struct lw_organisation {
--- a/src/peerset.c
+++ b/src/peerset.c
@@ -312,7 +312,7 @@
 
 /*
  * lw_peerset_has_room() - whether @service has a usable peer other than @avoid that has
- * not recently reported to be full.
+ * not recently reported that it is full.
  */
 bool lw_peerset_has_room(const lw_peerset_t *ps, uint32_t service, int avoid, uint64_t now_ms)
 {
--- a/src/peerset.h
+++ b/src/peerset.h
@@ -32,11 +32,11 @@
 	bool leaving; /* state in that list */
 	bool draining; /* announced by the peer, for its current incarnation */
 	uint64_t incarnation; /* newest one received; 0 before the first */
-	uint64_t since_ms; /* start of its slow start: when first listed, or restarted */
+	uint64_t since_ms; /* start of its slow start: when first listed, or restarted; 0: none */
 	uint32_t fails; /* consecutive failed attempts */
 	uint32_t backoff_ms; /* duration of the last suspicion */
 	uint64_t suspect_until; /* 0: not suspected */
-	bool trial; /* suspicion has ended, no success yet */
+	bool trial; /* is or was suspected, no success since */
 	uint32_t inflight;
 	uint32_t load_permille; /* last reported load: in-flight calls over the limit */
 	uint64_t load_at_ms;
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -24,7 +24,7 @@
 /* hold times after the first, second and third trial that crashed a server, us */
 static const uint64_t hold_us[] = { 15000000, 120000000, 960000000 };
 #define NHOLDS (sizeof(hold_us) / sizeof(hold_us[0]))
-/* after all of these, the request is held until no caller has sent it for this long, us */
+/* after further such trials, the request is held until no caller has sent it for this long, us */
 #define LAST_HOLD_US 3600000000
 
 typedef struct entry {
@@ -139,8 +139,8 @@
 }
 
 /*
- * lw_quarantine_needs_body() - whether a request with this method, host and target may be
- * restricted. This depends on the body, so the caller must wait for it.
+ * lw_quarantine_needs_body() - whether a request with the head digest @head may be
+ * restricted. This depends on the body, so the caller must wait for the body.
  */
 bool lw_quarantine_needs_body(const lw_quarantine_t *q, uint64_t head)
 {
--- a/src/quota.c
+++ b/src/quota.c
@@ -14,7 +14,10 @@
 #define ANSWER_TIMEOUT_US 700000
 /* the answer to a report is late after this time, us */
 #define ANSWER_LATE_US 200000
-/* this many requests of one organisation since the last report trigger a report at once */
+/*
+ * from this many requests of one organisation since the last report on, reports are due
+ * every LW_QUOTA_REPORT_SURGE_US
+ */
 #define SURGE_REQUESTS 3
 /* fraction of the slack that standalone nodes share in addition to the limit */
 #define STANDALONE_SLACK_SHARE 0.5
@@ -49,8 +52,8 @@
 	double phase; /* fraction of a request, drawn once: rounds this node's share */
 	double demand; /* recent demand at this node, per second */
 	uint64_t demand_us;
-	double fleet_demand; /* at all nodes, per the last answer; 0: not included */
-	double share; /* this node's share of it at the last answer of a coordinator */
+	double fleet_demand; /* at all nodes, per the last answer that included it; 0: none did */
+	double share; /* this node's share of the limit, as of the last answer of a coordinator */
 	double tokens; /* of this node's own token bucket, used while it is standalone */
 	uint64_t tokens_us;
 	lw_quotawindow_t window; /* requests admitted here */
@@ -62,7 +65,7 @@
 typedef struct lw_reporting {
 	uint64_t sent_us; /* time of the report that awaits its answer; 0: none does */
 	uint64_t last_us; /* time of the last report */
-	bool surge; /* a report must be sent at once */
+	bool surge; /* SURGE_REQUESTS were reached since the last report */
 } lw_reporting_t;
 
 struct lw_quota {
@@ -186,8 +189,9 @@
 }
 
 /*
- * A count over a window would admit the whole share at once, and again right after the
- * window, in addition to what the connected nodes admit in the meantime.
+ * Token bucket for larger shares. A count over a window would admit the whole share at
+ * once, and again right after the window, in addition to what the connected nodes admit in
+ * the meantime.
  */
 static bool fits_bucket(lw_orgusage_t *u, double share, uint64_t now_us)
 {
@@ -317,8 +321,8 @@
 
 /*
  * lw_quota_report() - fill @out with the usage that has not been reported to the
- * coordinator yet, for at most @most organisations; the others follow in the next report. Only one report at a time
- * awaits its answer.
+ * coordinator yet, for at most @most organisations; the others follow in the next report.
+ * Only one report at a time awaits its answer.
  */
 size_t lw_quota_report(lw_quota_t *q, uint32_t coordinator, uint64_t now_us, lw_quota_usage_t *out,
 		       size_t most)
@@ -372,8 +376,8 @@
 }
 
 /*
- * lw_quota_coordinator_lost() - another node has become this coordinator, and it does not
- * have what is pending.
+ * lw_quota_coordinator_lost() - another node has become this coordinator. It has not
+ * received the unanswered report, whose contents are added to the next one, due at once.
  */
 void lw_quota_coordinator_lost(lw_quota_t *q, uint32_t coordinator)
 {
@@ -399,7 +403,7 @@
 	return c;
 }
 
-/* the entry of @n with the fewest requests */
+/* the one with the fewest requests among the @n entries of @counts */
 static lw_quota_count_t *min_by_asked(lw_quota_count_t *counts, size_t n)
 {
 	lw_quota_count_t *least = counts;
--- a/src/quotabucket.c
+++ b/src/quotabucket.c
@@ -14,7 +14,7 @@
 /* time constants of the fast and the slow average of the demand, s */
 #define FAST_S 0.3
 #define SLOW_S 1.5
-/* time in which the balance or debt of a bucket is used up, s */
+/* time in which the balance of a bucket is used up or its debt repaid, s */
 #define SETTLE_S 1.0
 
 /* refill rate of the bucket in requests per second, slightly above the limit */
@@ -66,7 +66,7 @@
 	b->shared += lw_bucket_demand_rate(asked, LW_QUOTA_DEMAND_MEMORY_S, covered_s);
 }
 
-/* lw_bucket_permille() - the fraction of the requests that the bucket sustains. */
+/* lw_bucket_permille() - the fraction of the current demand that the bucket sustains. */
 uint32_t lw_bucket_permille(const lw_bucket_t *b, const lw_quota_tolerance_t *t)
 {
 	double sustainable_rate = refill_rate(b, t) + b->tokens / SETTLE_S;
--- a/src/quotacoord.c
+++ b/src/quotacoord.c
@@ -11,13 +11,16 @@
 
 /* a node that has not reported for this long may be standalone, us */
 #define SILENT_US 600000
-/* after this time without a report, nothing stays reserved for a node, us */
+/*
+ * after this time without a report, the shares of a node are no longer reserved; as long as
+ * it is in the fleet, it counts as unknown, us
+ */
 #define FORGET_US 10000000
 /* interval at which the reserved shares are added up, us */
 #define RESERVE_STEP_US 100000
 /* interval at which the fractions to admit are computed, us */
 #define COMPUTE_US 30000
-/* number of organisations whose demand is included in turn in any answer */
+/* number of organisations whose demand is included in turn, whichever node gets the answer */
 #define ROUND_ROBIN_ORGS 6
 
 /* demand for one organisation at one node */
@@ -113,7 +116,10 @@
 	return b;
 }
 
-/* the share of a limit that is available to reporting nodes */
+/*
+ * the share of a limit that is available to reporting nodes: without an equal part for each
+ * unknown node and what is reserved for silent ones
+ */
 static double available_share(const lw_quotacoord_t *k, const lw_bucket_t *b)
 {
 	double heard = k->nodes ? 1.0 - (double)k->nunknown / k->nodes : 1.0;
@@ -186,7 +192,7 @@
 /*
  * Number of requests that a report takes from the bucket. While the node was silent its
  * share was reserved; charging it again would reduce the limit for all nodes after a
- * partition. Nothing is known about the time before the first report.
+ * partition. A first report takes nothing, as the time that it covers is unknown.
  */
 static double charge_of(int32_t admitted, double covered_s)
 {
--- a/src/records.c
+++ b/src/records.c
@@ -128,7 +128,7 @@
 
 /*
  * lw_records_settle() - @key reached its final @state. True if the table took ownership of
- * @answer, which has @bytes. An unknown @key is added first if @state is refused, to
+ * @answer, whose size is @bytes. An unknown @key is added first if @state is refused, to
  * refuse a request that has not been received yet.
  */
 bool lw_records_settle(lw_records_t *r, lw_key_t key, lw_record_state_t state, void *answer,
--- a/src/revdoc.c
+++ b/src/revdoc.c
@@ -63,8 +63,8 @@
 }
 
 /*
- * lw_revdoc_put() - store @bytes as the document's content since @version. False if the
- * version is not newer, or if only its number is: the content is the same.
+ * lw_revdoc_put() - store @bytes as the document's content from @version on. False if the
+ * version is not newer, or if the content is the same and only the number is newer.
  */
 bool lw_revdoc_put(lw_revdoc_t *d, uint64_t version, lw_str_t bytes)
 {
--- a/src/routestats.c
+++ b/src/routestats.c
@@ -27,8 +27,8 @@
 }
 
 /*
- * lw_routestat_count() - count the outcome of a request of the route, or with @nested of a
- * call made for one.
+ * lw_routestat_count() - count the outcome of a request of the route; @nested: of a call
+ * that was made for such a request.
  */
 void lw_routestat_count(lw_routestat_t *r, bool nested, lw_route_outcome_t outcome)
 {
--- a/src/serverset.c
+++ b/src/serverset.c
@@ -113,7 +113,7 @@
 }
 
 /*
- * lw_serverset_put() - an entry was written. A process never reverts to not draining. A
+ * lw_serverset_put() - an entry was written. A process that is draining remains so. A
  * process that started later under the same id starts without that state, and late writes
  * of an earlier process are ignored.
  */
@@ -175,7 +175,7 @@
 		m->seen = false;
 }
 
-/* lw_serverset_end_read() - the read is complete: entries not found in it are removed. */
+/* lw_serverset_end_read() - the read is complete: entries not found in it are missing. */
 void lw_serverset_end_read(lw_serverset_t *s)
 {
 	for (lw_member_t *m = s->members; m; m = m->hh.next)
@@ -186,8 +186,8 @@
 }
 
 /*
- * lw_serverset_replace() - discard outdated entries and start from the list that the fleet
- * uses, including which servers are draining.
+ * lw_serverset_replace() - discard all entries, which are outdated, and start from @in_use,
+ * the list that the fleet uses, including which servers are draining.
  */
 void lw_serverset_replace(lw_serverset_t *s, const lw_serverlist_t *in_use)
 {
@@ -295,7 +295,7 @@
 /*
  * The newest entry of each address. The entry of a crashed server remains until it
  * expires, seconds after another server has started at its address, and requests sent
- * according to it are rejected. After a power failure of the whole fleet, that affected
+ * according to it are rejected. After a power failure of the whole fleet, this can affect
  * half of all requests for two seconds.
  */
 static lw_member_t *newest_by_addr(lw_serverset_t *s)
--- a/src/storepos.h
+++ b/src/storepos.h
@@ -1,7 +1,7 @@
 /*
  * A position in the store's history as one number that only grows. Revisions alone
  * decrease and are assigned again when the store is restored from an older copy; the store
- * then increments its era. Positions of nodes with a version that knows only revisions are
+ * then increments its era. Positions from nodes whose software knows only revisions are
  * below all others.
  */
 #ifndef LW_STOREPOS_H
@@ -28,7 +28,7 @@
 								      << LW_STOREPOS_EDITION_BITS;
 }
 
-/* lw_storepos_next() - the position of the next edition at the revision of @pos. */
+/* lw_storepos_next() - the next edition at the revision of @pos; @pos itself if it is the last. */
 static inline uint64_t lw_storepos_next(uint64_t pos)
 {
 	return (pos & LW_STOREPOS_EDITION_MASK) < LW_STOREPOS_EDITION_MASK ? pos + 1 : pos;
--- a/tests/test_lease.c
+++ b/tests/test_lease.c
@@ -23,7 +23,7 @@
 /* the guarantees, ms */
 #define DRAIN_MS  2000 /* a leaving server may still get requests for this long */
 #define IDLE_MS	  1000 /* longest time that a live, reachable server goes unused */
-#define MARGIN_MS 450 /* as in proxynews.c */
+#define MARGIN_MS 450 /* LAPSED_MARGIN_S of proxynews.c */
 
 typedef enum event { CUT, HEAL, LEAVE, DRAIN, CRASH, RESTART, ADDRESS_REUSED, EVENT_COUNT } event_t;
 
--- a/tests/test_notice.c
+++ b/tests/test_notice.c
@@ -163,7 +163,7 @@
 	CU_ASSERT_FALSE(fields_of("H\r\nA: 1\r\n").limit_invalid);
 }
 
-/* requests of a run: the first ones are sent together, each other one after a further answer */
+/* requests of a run: the first ones are sent together, each later one after one more answer */
 #define ASKED	 5
 #define TOGETHER 3
 /* no limit, a lower and a higher limit */
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -13,7 +13,7 @@
 #define STEPS	    160
 #define STEP_US	    50000
 #define REPORTS_MAX 256 /* reports in flight */
-/* guarantee: most servers that a request crashes in one run if all reports arrive */
+/* guarantee: a request crashes at most this many servers in one run if all reports arrive */
 #define CRASHES_MAX 8
 
 typedef struct report_in_flight {
