--- a/src/credential.h
+++ b/src/credential.h
@@ -8,7 +8,8 @@
 	LW_CREDENTIAL_NONE, /* the request has no key */
 	LW_CREDENTIAL_KEY,
 	LW_CREDENTIAL_UNSUPPORTED, /* of another scheme, or without a key */
-	LW_CREDENTIAL_DUPLICATE, /* two header lines that may differ: other servers could use either */
+	/* two header lines that may differ: other servers could use either */
+	LW_CREDENTIAL_DUPLICATE,
 } lw_credential_t;
 
 lw_credential_t lw_credential_read(const lw_httphead_t *h, const char *scheme, lw_str_t *key);
--- a/src/lease.h
+++ b/src/lease.h
@@ -46,7 +46,7 @@
 	uint64_t store_failed_us; /* last failed read of the store */
 	bool pending; /* a call to the store has been unanswered for LW_LEASE_PENDING_US */
 	uint64_t healthy_us; /* last time the server reported that it is healthy */
-	/* the server reports that it is leaving or unhealthy, refuses connections, or was replaced */
+	/* the server is leaving or unhealthy, refuses connections, or was replaced */
 	bool leaving;
 } lw_lease_evidence_t;
 
--- a/src/notice.h
+++ b/src/notice.h
@@ -18,7 +18,7 @@
 	bool leaving;
 	bool limited;
 	bool limit_invalid; /* the limit is not a number or is given twice; it is ignored */
-	double limit_per_s; /* requests per second that the server accepts from all hosts together */
+	double limit_per_s; /* requests per second accepted from all hosts together */
 } lw_notice_fields_t;
 
 /* The newest limit that a server process has announced. */
