--- a/src/notice.h
+++ b/src/notice.h
@@ -18,14 +18,14 @@
 	bool leaving;
 	bool limited;
 	bool limit_invalid; /* the limit is not a number or is given twice; it is ignored */
-	double limit_per_s; /* requests per second that the server accepts from all hosts together */
+	double limit_per_s; /* requests per second accepted from all hosts together */
 } lw_notice_fields_t;
 
 /* The newest limit that a server process has announced. */
 typedef struct lw_notice_limit {
 	bool on;
 	double per_s;
-	uint64_t updated_us; /* time of the newest response; 0: none received */
+	uint64_t updated_us; /* when the last response was applied; 0: none was */
 } lw_notice_limit_t;
 
 /* What is known about one process of a backend server. */
