--- a/src/answer.h
+++ b/src/answer.h
@@ -1,6 +1,6 @@
 /*
- * A complete answer of a backend server with a reference count. It is shared by the caller that
- * waits for it and the records of the reducer, which replay it.
+ * A complete answer of a backend server, with a reference count. It is shared by the caller that
+ * waits for the answer and the records of the reducer, which replay it.
  */
 #ifndef LW_ANSWER_H
 #define LW_ANSWER_H
--- a/src/bconn.h
+++ b/src/bconn.h
@@ -46,7 +46,7 @@
 	bool completed; /* the parser reached the end of the answer */
 	bool keep; /* the server keeps the connection open */
 	bool sent; /* bytes of this request were passed to the kernel */
-	bool long_body; /* the request has a long body, in which the server may pause reading */
+	bool long_body; /* the server may pause while it reads the long body of the request */
 	bool is_head; /* the answer to a HEAD request has no body */
 	uint32_t requests; /* number of requests carried so far */
 	uint32_t idle_limit_s; /* idle timeout announced by the server; 0: none */
--- a/src/call.h
+++ b/src/call.h
@@ -27,7 +27,7 @@
 	LW_FAIL_LEAVING, /* the node or the backend server accepts no new work */
 	LW_FAIL_EXPIRED, /* its deadline or queue limit passed while it was queued */
 	LW_FAIL_NO_SERVER, /* the backend server accepts no connection */
-	LW_FAIL_UNSENT, /* the connection to the node failed before the request was sent */
+	LW_FAIL_UNSENT, /* no connection to the node carried the request */
 	/* the request was sent to a backend server, which reported that it did not execute it */
 	LW_FAIL_SHED,
 	LW_FAIL_MISDIRECTED, /* a different backend server now uses the address */
@@ -67,11 +67,11 @@
 	int64_t body_length; /* -1: chunked */
 	uint32_t deadline_ms; /* time left when it is sent */
 	uint32_t queue_ms; /* longest time that the request may wait in a queue */
-	/* until the user request misses its latency objective; 0: missed */
+	/* time until the user request misses its latency objective; 0: already missed */
 	uint32_t target_left_ms;
 	uint32_t rank; /* of the user request that it belongs to, see level.h */
 	bool repeat; /* a retry, or part of a request that is a retry */
-	lw_notice_t notice; /* what the sender knows about the target */
+	lw_notice_t notice; /* announcement of the target known to the sender; server 0: none */
 } lw_call_request_t;
 
 /* The head of an answer. */
--- a/src/caller.c
+++ b/src/caller.c
@@ -12,7 +12,7 @@
 #define BODY_DEFAULT_BYTES (64u * 1024 * 1024)
 #define HEAD_DEFAULT_MS	   3000
 #define IDLE_DEFAULT_MS	   15000
-/* when the node stops, connections without a request are kept open until they are this old, us */
+/* when the node stops, a connection is closed once it has had no request for this long, us */
 #define NEW_CONN_US 500000
 /* file descriptors reserved for peers, the backend server and files */
 #define FDS_RESERVED 700
@@ -220,9 +220,10 @@
 }
 
 /*
- * lw_callers_close_idle() - close connections that carry no request, except recently opened ones.
- * The first request of a caller, or a nested call of an executing request, may still be unread in
- * the kernel (8 of 433 requests with a nested call failed that way).
+ * lw_callers_close_idle() - close connections that carry no request, except those opened or used a
+ * moment ago. The first request of a caller, or a nested call of an executing request, may still
+ * be unread in the kernel and would be lost with the connection (8 of 433 requests with a nested
+ * call failed that way).
  */
 void lw_callers_close_idle(lw_callers_t *cs)
 {
--- a/src/caller_int.h
+++ b/src/caller_int.h
@@ -8,7 +8,7 @@
 #include "bytebuf.h"
 #include "caller.h"
 
-/* limit on the bytes read from a caller that pipelines requests */
+/* limit on the unprocessed bytes read from a caller, which may pipeline requests */
 #define READ_AHEAD_MAX_BYTES 65536
 
 typedef enum {
@@ -28,10 +28,10 @@
 	lw_bytebuf_t out;
 	http_parser parser;
 	uint64_t since_us; /* when the current state began */
-	/* how much earlier the data read now arrived, after a suspend of the host */
+	/* how long the data being read was unread because the host was suspended */
 	uint64_t late_us;
 	uint64_t body_seen;
-	uint32_t uncredited; /* answer bytes in out that the exchange has no credit for yet */
+	uint32_t uncredited; /* body bytes queued in out, to be credited once out is written */
 	bool ready_only;
 	bool eof;
 	bool closing; /* close once out is empty */
--- a/src/callerreply.c
+++ b/src/callerreply.c
@@ -142,9 +142,9 @@
 }
 
 /*
- * A truncated answer must be recognisable, so the connection is closed before the rest. An
- * HTTP/1.0 answer without a length or chunks would look complete after an orderly close, so that
- * connection is reset.
+ * A truncated answer must be recognisable, so the connection is closed without sending the rest.
+ * HTTP/1.0 connections are reset: an answer with neither a length nor chunks would look complete
+ * after an orderly close.
  */
 static void reply_cut(lw_reply_t *r)
 {
--- a/src/exchadmit.c
+++ b/src/exchadmit.c
@@ -18,9 +18,9 @@
 /* extra time for the server's answer at the deadline, ms */
 #define TIMEOUT_MARGIN_MS 15
 /*
- * A node whose last store update is older than this cannot distinguish an invalid API key from a
- * new one. As callers do not retry a request after a 401, such a node answers 503 with a
- * retry-after delay instead, ms.
+ * A node whose last store update is older than this, in ms, cannot distinguish an invalid API key
+ * from a new one. As callers do not retry a request after a 401, such a node answers 503 with a
+ * retry-after delay instead.
  */
 #define KEYS_STALE_MS 2500
 
@@ -73,8 +73,8 @@
 }
 
 /*
- * composes the head to forward; API keys are removed, and only this node states which organisation
- * holds the key
+ * composes the head to forward; API keys are removed, and the header that names the organisation
+ * is taken from this node alone, not from the sender
  */
 static void compose_head(lw_exchange_t *x, const lw_httphead_t *h)
 {
@@ -96,8 +96,8 @@
  * Detects nested calls: calls that the backend server on this host makes for a request that it
  * executes. Callers and the backend server share the host's address, so only the request id
  * distinguishes them: backend servers build the id of a nested call from the parent's id, a dot
- * and a suffix. If the parent is unknown, because this process started after it, the call is
- * ranked by its route.
+ * and a suffix. If the parent is unknown, because this process started after the parent arrived,
+ * the call is ranked by its route.
  */
 static void find_parent(lw_exchange_t *x, lw_gate_parent_t *parent)
 {
@@ -120,7 +120,7 @@
 									  LW_IDENTITY_UNKNOWN;
 }
 
-/* identifies the sender; @org: NULL for nested calls of known requests and for open routes */
+/* identifies the sender; @org: NULL for nested calls with a known parent and for open routes */
 static lw_identity_t identify(const lw_exchange_t *x, const lw_httphead_t *h,
 			      const lw_fleet_route_t *r, const lw_organisation_t **org)
 {
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -27,8 +27,8 @@
 }
 
 /*
- * lw_exchange_release() - the request is finished for its caller; freed at the end of this loop
- * iteration.
+ * lw_exchange_release() - release a request that is finished for its caller; @x is freed at the end
+ * of this loop iteration.
  */
 void lw_exchange_release(lw_exchange_t *x)
 {
@@ -122,7 +122,7 @@
 		lw_retry_after_ms(room, x->priority, lw_exchange_remaining_ms(x, x->deadline_us),
 				  lw_evloop_random(x->engine->evloop, UINT32_MAX));
 
-	/* every node that quarantines the request rejects it until then */
+	/* every node that quarantines the request rejects it until this delay has passed */
 	if (why == LW_FAIL_HELD) {
 		x->engine->stats.held++;
 		ms = room;
@@ -234,7 +234,7 @@
 	lw_exchange_release(x);
 }
 
-/* lw_exchange_send() - send the request to a server, once it is known whether it is quarantined. */
+/* lw_exchange_send() - send the request to a server, after its body if the quarantine needs that. */
 void lw_exchange_send(lw_exchange_t *x)
 {
 	if (x->dead)
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -55,8 +55,8 @@
 	uint64_t cancelled;
 	uint64_t retries;
 	uint64_t retries_denied;
-	uint64_t handed_back;
-	uint64_t cut;
+	uint64_t handed_back; /* attempts that reached no server and were retried on another */
+	uint64_t cut; /* answers that were truncated */
 	/*
 	 * of those refused: rejected by the quarantine, as they are suspected of crashing servers
 	 */
--- a/src/exchattempt.c
+++ b/src/exchattempt.c
@@ -67,7 +67,8 @@
 	uint32_t left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	/*
 	 * Rejecting a nested call wastes all work done for its parent, and a request that may have
-	 * been executed can only be answered with 502.
+	 * been executed can only be answered with 502. Both may therefore be queued for all the
+	 * time that is left.
 	 */
 	bool may_wait = x->nested || x->attempts.maybe_ran;
 
--- a/src/exchdetain.c
+++ b/src/exchdetain.c
@@ -3,7 +3,7 @@
 
 #include "log.h"
 
-/* servers that execute copies of the same request crash within this time, in seconds */
+/* servers that crash while executing copies of a request do so within this time, in seconds */
 #define CRASH_REPORT_WAIT_S 0.02
 
 /* lw_exchange_verdict() - the current quarantine verdict on the request. */
--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -106,7 +106,7 @@
 
 /*
  * Updates placement and the admission levels on the call path with the load reported by the
- * node. @served: the answer is complete, so the work it caused at each service is known.
+ * node. @served: the answer is complete, so the work of the request at each service is known.
  */
 static void apply_load(lw_exchange_t *x, const lw_load_t *load, bool served)
 {
@@ -193,8 +193,8 @@
 }
 
 /*
- * the server consumed part of the body: send more, and discard the part that is too large to
- * retain
+ * the server consumed part of the body: send more, and discard the sent part if the body is too
+ * large to retain
  */
 static void sink_credit(lw_sink_t *s, uint32_t bytes)
 {
@@ -335,9 +335,9 @@
 /*
  * The call in progress is silent or takes much longer than usual. An idempotent request is sent to
  * another server; a nested call may also be resent to a server that already had it; any other
- * request can only wait. The request also waits if no other host has room for it (@confirmed: is known
- * to have room): if it were abandoned and then rejected there, it would fail with 502 although its
- * server is still working on it.
+ * request can only wait. A request also waits while no other host has room for it; with @confirmed
+ * a host whose load is unknown does not count. If the call were abandoned and the request then
+ * rejected there, it would fail with 502 although its server is still working on it.
  */
 static void abandon_stalled(lw_exchange_t *x, bool confirmed)
 {
--- a/src/gate.c
+++ b/src/gate.c
@@ -70,7 +70,7 @@
 
 /*
  * lw_gate_learn_load() - process the load that the backend server reports in its answers. The
- * report also covers requests that did not pass through this gate.
+ * report also covers work that did not pass through this gate, such as health checks.
  */
 void lw_gate_learn_load(lw_gate_t *g, lw_str_t value)
 {
@@ -96,7 +96,7 @@
  * A backend server that loses answers has free slots although its requests seem to be executing.
  * Each lost answer would occupy a slot here until the deadline of its request; with three answers
  * in ten lost, nine slots in ten were blocked that way. A request counts as lost if it takes much
- * longer than usual and the server reports fewer requests than this gate has sent.
+ * longer than usual and the server reports fewer requests than this gate counts as executing.
  */
 static void update_lost_answers(lw_gate_t *g)
 {
--- a/src/gate.h
+++ b/src/gate.h
@@ -88,8 +88,8 @@
 	lw_crash_t crash;
 	lw_quarantine_t *quarantine;
 	/*
-	 * called when the backend server crashed while executing crash.suspects, before their sinks
-	 * are notified
+	 * called when the backend server crashed while executing crash.suspects, before the sinks of
+	 * these requests are notified
 	 */
 	void (*on_crash)(void *ctx, const lw_crash_t *crash);
 	void *on_crash_ctx;
--- a/src/gatecrash.c
+++ b/src/gatecrash.c
@@ -125,7 +125,8 @@
 }
 
 /*
- * lw_gate_confirm_crash() - the server refuses connections: if a check is in progress, it crashed.
+ * lw_gate_confirm_crash() - the server refuses connections: if a check is in progress, its result
+ * is that the server crashed.
  */
 void lw_gate_confirm_crash(lw_gate_t *g)
 {
--- a/src/gatenotice.c
+++ b/src/gatenotice.c
@@ -47,7 +47,7 @@
 
 /*
  * lw_gate_on_notice() - process the self-announcement @said in the answer to a request sent at
- * @sent_us. Leaving is permanent: an answer without it was sent earlier.
+ * @sent_us. Leaving is permanent: an answer that does not announce it is an older one.
  */
 void lw_gate_on_notice(lw_gate_t *g, const lw_notice_fields_t *said, uint64_t sent_us)
 {
--- a/src/httpc.c
+++ b/src/httpc.c
@@ -80,8 +80,8 @@
 }
 
 /*
- * lw_httpc_capture_header() - copy @header from each answer from now on. @header is not copied and
- * must stay valid.
+ * lw_httpc_capture_header() - copy the value of the header named @header from each answer from now
+ * on. The string @header itself is not copied and must stay valid.
  */
 void lw_httpc_capture_header(lw_httpc_t *c, const char *header)
 {
--- a/src/pool.h
+++ b/src/pool.h
@@ -32,7 +32,7 @@
 	const char *addr; /* the peer, "ip:port" */
 	int timeout_ms; /* for the whole call */
 	int probe_ms; /* send a query after this time without a reply; 0: never */
-	uint64_t incarnation; /* incarnation of the peer received before the call; 0: unknown */
+	uint64_t incarnation; /* of the peer, as received before the call; 0: unknown */
 } lw_pool_call_t;
 
 lw_pool_t *lw_pool_new(void);
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -23,7 +23,7 @@
 }
 
 /*
- * Guards against connections reset at random: with more than 1023 open descriptors (256 callers
+ * Guards against connections reset under load: with more than 1023 open descriptors (256 callers
  * and 256 nested calls, each with an onward connection), libmicrohttpd with select() closes every
  * connection whose descriptor is above 1023 before it reads the request. At 900 requests/s, 40% of
  * the registrations ended as "unknown" that way; clients saw "Connection reset by peer". The
