--- a/src/docfetch.h
+++ b/src/docfetch.h
@@ -16,7 +16,7 @@
 
 /* Maximum size of one chunk, in bytes. */
 #define LW_DOCFETCH_PIECE 16384u
-/* After this time without a chunk another source may be used, in us. */
+/* Another source may be used after this time without a chunk, in us. */
 #define LW_DOCFETCH_TIMEOUT_US 300000
 
 /* Request for a chunk, sent to the source. */
--- a/src/heartbeat.c
+++ b/src/heartbeat.c
@@ -68,7 +68,10 @@
 	if (!lw_pool_request(n->pool, addr, &f, PING_MS, false, &reply))
 		return;
 	if (reply->body_case == LW__FRAME__BODY_PONG && reply->pong->nonce == ping.nonce) {
-		/* a peer that advertises another address is identified by the address used */
+		/*
+		 * peers are identified by the address in the host list: the state in the pong
+		 * is ignored if the advertised address is not known here
+		 */
 		if (strcmp(reply->pong->sender, addr) != 0)
 			lw_log(LW_LOG_peer_address, "listed=%s advertised=%s", addr,
 			       reply->pong->sender);
@@ -81,7 +84,7 @@
 {
 	lw_peer_state_t s = lw_peer_state(p, now);
 
-	/* only peers that this node has contacted; other nodes watch the rest */
+	/* only peers that this node has communicated with; other nodes watch the rest */
 	return p->incarnation && (s == LW_PEER_SUSPECTED || s == LW_PEER_DRAINING);
 }
 
--- a/src/inbound.c
+++ b/src/inbound.c
@@ -117,8 +117,8 @@
 		look_up_record(n, &c, rq);
 	if (!wait_for_decision(n, &c, deadline_at))
 		/*
-		 * still queued; after the call is closed here it is never executed (see
-		 * apply())
+		 * still queued; after the call is closed here, the request is never executed
+		 * (see apply_effect())
 		 */
 		end_call_timed_out(&c, LW_NOT_RUN, LW_R_DEADLINE);
 	else if (c.state == LW_CALL_ADMITTED)
--- a/src/mailbox.c
+++ b/src/mailbox.c
@@ -3,7 +3,7 @@
 
 #include <urcu-bp.h>
 
-/* lw_mailbox_put() - stores @snapshot and releases one that was not taken. */
+/* lw_mailbox_put() - stores @snapshot; releases the previous one if it was not taken. */
 void lw_mailbox_put(lw_mailbox_t *m, void *snapshot)
 {
 	void *old = rcu_xchg_pointer(&m->slot, snapshot);
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -7,7 +7,7 @@
 
 /* request the peer's status if nothing was received for this time while responses are due, us */
 #define SILENT_PROBE_US 200000
-/* use another connection if that request has no reply after this time, us */
+/* use another connection if the peer's status has not arrived after this time, us */
 #define SILENT_LOST_US 300000
 /* check interval of connections with requests in flight, in seconds */
 #define WATCH_INTERVAL_S 0.1
@@ -15,7 +15,8 @@
 #define IDLE_PROBE_US 2000000
 /*
  * A connection on which the peer has not sent its first frame after this time has failed,
- * in us. Requests held back meanwhile carry the time that was left when they were queued.
+ * in us. Requests held back until then carry the remaining time that they had when
+ * they were queued.
  */
 #define HANDSHAKE_TIMEOUT_US 400000
 
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -32,14 +32,17 @@
 	 * store expired
 	 */
 	void (*server_alive)(void *ctx, const char *node, const char *server, uint64_t born_ms);
-	/* the connection to @node was lost or went silent; @used: it had carried data before */
+	/*
+	 * the connection to @node was lost or went silent; @used: it had carried requests or
+	 * the peer's status
+	 */
 	void (*node_lost)(void *ctx, const char *node, bool used);
 	/*
-	 * admission thresholds known here, to be passed on to other nodes; returns their
-	 * number
+	 * fills @out with at most @most admission levels known here, to be passed on to
+	 * other nodes; returns their number
 	 */
 	uint32_t (*known_levels)(void *ctx, lw_level_report_t *out, uint32_t most);
-	/* another node reported an admission threshold */
+	/* another node reported the admission level of a service */
 	void (*level_received)(void *ctx, const lw_level_report_t *heard);
 	uint64_t (*config_version)(void *ctx);
 	/*
--- a/src/mesh_int.h
+++ b/src/mesh_int.h
@@ -39,7 +39,7 @@
 	bool request_complete; /* incoming: the whole request body was received */
 	bool response_started; /* incoming: a part of the response was sent */
 	uint64_t query_number; /* incoming: number of the newest outcome query about it */
-	/* incoming: local count of the last processed outcome query that named it */
+	/* incoming: queries_handled of the mesh when an outcome query last named it */
 	uint64_t named_by;
 	UT_hash_handle hh; /* in lw_link.streams, by id */
 	UT_hash_handle by_origin; /* in lw_mesh.sent or lw_mesh.incoming */
@@ -79,7 +79,7 @@
 	uint64_t last_recv_us;
 	uint64_t opened_us;
 	uint64_t status_request_us; /* time of the unanswered status request; 0: none */
-	uint64_t late_us; /* the data in the buffers is older than it seems by this time */
+	uint64_t late_us; /* time by which a host suspend delayed the data in the buffers */
 	uint64_t peer_version; /* configuration version in use at the peer, as far as known */
 	uint64_t pushed_version;
 	/* revision of the peer's list of backend servers, as far as known */
@@ -88,7 +88,7 @@
 	uint64_t peer_store_read_us; /* time of the last store read that the peer knows of */
 	/* the peer fetches documents in chunks; whole ones are not pushed to it */
 	bool peer_fetches;
-	uint64_t levels_us; /* when admission thresholds were last sent over it */
+	uint64_t levels_us; /* when admission levels were last sent over it */
 	lw_link_t *next;
 	lw_link_t *next_dirty;
 };
--- a/src/meshask.c
+++ b/src/meshask.c
@@ -1,9 +1,9 @@
 /*
  * Queries the outcomes of requests whose connection was lost or became silent. A device
- * between two hosts can lose track of open connections while new ones work, or reset them,
+ * between two hosts can reset open connections, or lose track of them while new ones work,
  * and a host can be suspended for a moment. Without a query the requests on such a
  * connection end as "may have been executed", although most of them wait in a buffer or are
- * executed normally; seen as a burst of 502 and 504 with healthy servers. The peer is
+ * executed normally; callers see a burst of 502 and 504 with healthy servers. The peer is
  * queried over another connection until a query succeeds: requests it never received are
  * sent elsewhere, and those it executes are answered over the new connection.
  */
@@ -16,17 +16,16 @@
 #include "xalloc.h"
 
 /*
- * Without a reply to the query after this time the peer is suspended or gone, in us.
- * Requests that may be executed twice are then sent elsewhere; for any other the wait
- * continues.
+ * If a query has no reply after this time, the peer is suspended or gone, in us. Requests
+ * that may be executed twice are then sent elsewhere; all others continue to wait.
  */
 #define QUERY_TIMEOUT_US 600000
 
 /*
  * lw_mesh_reset_queries() - marks the queries sent over @l, which was lost or went silent,
  * as unsent, so that they are sent again over another connection. Otherwise a request that
- * the host has answered, or never received, would end as 504 or 502; seen whenever a host
- * is suspended for longer than the handshake timeout.
+ * the peer has answered, or never received, would end as 504 or 502 whenever a host is
+ * suspended for longer than the handshake timeout.
  */
 void lw_mesh_reset_queries(const lw_link_t *l)
 {
@@ -161,15 +160,15 @@
 
 	if (!s) {
 		/*
-		 * given up before this outcome arrived: the cancellation went to a closed
-		 * connection
+		 * cancelled before this outcome arrived, and the cancellation was sent over a
+		 * connection that is lost
 		 */
 		if (fate->kind == LW__FATE_KIND__FATE_MOVED)
 			lw_mesh_send_cancel(l, fate->moved_to);
 		return false;
 	}
 	if (s->query_link != l->name)
-		return false; /* queried again: only the latest reply counts */
+		return false; /* queried again: only the reply to the latest query counts */
 	same = same_process(s, w);
 	if (same && fate->kind == LW__FATE_KIND__FATE_MOVED) {
 		resume_stream(s, l, fate->moved_to);
--- a/src/meshclosed.c
+++ b/src/meshclosed.c
@@ -18,7 +18,7 @@
 
 /*
  * lw_meshclosed_add() - records that connection @name delivers nothing more. All stream ids
- * received on it are below @opened. @now_us: monotonic time.
+ * received on it are below @opened. @now_us: boot time.
  */
 void lw_meshclosed_add(lw_meshclosed_t *p, uint64_t name, uint32_t opened, uint64_t now_us)
 {
@@ -42,8 +42,8 @@
 
 /*
  * lw_meshclosed_never_received() - returns true if request @id of connection @name, which
- * is not open now, never reached this process. A request of a connection that may have been
- * evicted may have been executed.
+ * is not open now, never reached this process. Returns false if the connection may have
+ * been evicted, as its requests may have been executed.
  */
 bool lw_meshclosed_never_received(const lw_meshclosed_t *p, uint64_t name, uint32_t id,
 				  uint64_t now_us)
--- a/src/meshdocs.c
+++ b/src/meshdocs.c
@@ -137,7 +137,10 @@
 	case LW_DOCFETCH_DONE:
 		apply_document(m, w->kind, piece.of.version, (lw_str_t){ bytes, piece.of.length });
 		free(bytes);
-		/* a node of a newer version may accept a document that this one cannot parse */
+		/*
+		 * not fetched again: this node cannot parse the document, which a newer
+		 * software version may accept
+		 */
 		if (own_version_of(m, w->kind) < piece.of.version)
 			m->fetch[w->kind].rejected_version = piece.of.version;
 		lw_mesh_apply_store_read(l);
--- a/src/meshframe.c
+++ b/src/meshframe.c
@@ -159,7 +159,7 @@
 	}
 }
 
-/* lw_meshframe_add_levels() - adds the first @n thresholds in out->levels to the load part. */
+/* lw_meshframe_add_levels() - adds the first @n levels in out->levels to the load part. */
 void lw_meshframe_add_levels(lw_meshframe_load_t *out, uint32_t n)
 {
 	out->load.n_heard = n;
@@ -173,7 +173,7 @@
 	}
 }
 
-/* lw_meshframe_read_level() - decodes an admission threshold that a peer forwarded. */
+/* lw_meshframe_read_level() - decodes an admission level that a peer forwarded. */
 void lw_meshframe_read_level(const Lw__Heard *in, lw_level_report_t *out)
 {
 	memset(out, 0, sizeof(*out));
--- a/src/meshframe.h
+++ b/src/meshframe.h
@@ -15,7 +15,7 @@
 #include "fleetconf.h"
 #include "mesh.pb-c.h"
 
-/* Maximum number of admission thresholds forwarded in one frame. */
+/* Maximum number of admission levels forwarded in one frame. */
 #define LW_MESHFRAME_LEVELS_MAX 6
 
 /* The load part of a frame, with the storage for its parts. */
--- a/src/meshlink.c
+++ b/src/meshlink.c
@@ -25,8 +25,8 @@
 
 /*
  * Returns the number of bytes that may be written now. A kernel accepts connections and
- * data for a process that is about to exit or is suspended, and the sender of such a
- * request must assume that it may have been executed: 16 requests in a day of rolling
+ * data for a process that is about to exit or is suspended, and the sender of a request in
+ * that data must assume that it may have been executed: 16 requests in a day of rolling
  * restarts ended as 502 although no process had read them. So only this node's status is
  * written before the peer's status has arrived.
  */
@@ -57,7 +57,7 @@
 
 /*
  * lw_link_frame_queued() - accounts for a queued frame, which is written at the end of this
- * loop iteration.
+ * loop iteration; @before: length of the output buffer without the frame.
  */
 void lw_link_frame_queued(lw_link_t *l, size_t before, Lw__MeshFrame__BodyCase kind)
 {
@@ -288,10 +288,10 @@
 }
 
 /*
- * Returns true if requests in the buffers were delayed by a host suspend. A request may be
- * cancelled later in the buffer, or its connection be lost by now, and its caller was
- * answered by another server. So all data is read before any request is processed.
- * Responses are processed as they arrive, whatever the state of their connection.
+ * Returns true if requests in the buffers were delayed by a host suspend. Such a request may
+ * be cancelled later in the buffer, or its connection may be lost by now, while its caller
+ * was already answered by another server. So all data is read before any request is
+ * processed. Responses are processed as they arrive, whatever the state of their connection.
  */
 static bool requests_delayed(const lw_link_t *l)
 {
--- a/src/meshoutcomes.h
+++ b/src/meshoutcomes.h
@@ -1,7 +1,8 @@
 /*
  * Outcomes of requests of other nodes, retained for a short time after they were sent. A
- * connection can go silent with a response on it, which neither sender nor executing node
- * can see. When the sender queries the request, the node sends the retained outcome again.
+ * connection can go silent with a response on it, which neither the sending nor the
+ * executing node can detect. When the sending node queries the outcome, the executing node
+ * sends it again.
  */
 #ifndef LW_MESHOUTCOMES_H
 #define LW_MESHOUTCOMES_H
--- a/src/meshrecover.c
+++ b/src/meshrecover.c
@@ -13,8 +13,8 @@
 
 /*
  * How long a request keeps running after its connection was lost, in case its sender
- * queries its outcome, in us. Must be below the 500 ms within which work for a caller that
- * has left must stop.
+ * queries its outcome, in us. Must be below the 500 ms after which work for a caller that
+ * has left must have stopped.
  */
 #define ORPHAN_GRACE_US 300000
 
@@ -121,9 +121,9 @@
 /*
  * lw_mesh_peer_gone() - fails the requests that wait on lost connections to @node, as no
  * process listens there: it has exited and will not answer. A lost connection alone does
- * not prove this. When an older, silent connection was closed because no request was left
- * on it, ending the wait would drop responses that are on their way (502 for requests that
- * are being executed).
+ * not prove this: an older, silent connection is also closed when no request is left on it,
+ * and ending the wait then would drop responses that are on their way (502 for requests
+ * that are being executed).
  */
 void lw_mesh_peer_gone(lw_mesh_t *m, const char *node)
 {
@@ -196,7 +196,7 @@
 		return;
 	}
 	if (q->number && q->number < s->query_number)
-		return; /* a newer query was received: the sender waits for that reply */
+		return; /* a newer query was received: the sender waits for the reply to that */
 	s->query_number = q->number;
 	if (!can_move(s))
 		return;
--- a/src/meshstatus.c
+++ b/src/meshstatus.c
@@ -7,7 +7,7 @@
 
 /* time that a peer has to get a new configuration by itself, us */
 #define CONFIG_PUSH_DELAY_US 600000
-/* minimum interval between admission thresholds sent over one connection, us */
+/* minimum interval between frames with admission levels on one connection, us */
 #define LEVELS_INTERVAL_US 20000
 
 /*
@@ -27,7 +27,7 @@
 				m->ops->known_levels(m->ctx, out->levels, LW_MESHFRAME_LEVELS_MAX));
 }
 
-/* lw_mesh_read_levels() - processes the admission thresholds in the load part of a frame. */
+/* lw_mesh_read_levels() - processes the admission levels in the load part of a frame. */
 void lw_mesh_read_levels(lw_link_t *l, const Lw__Load *load)
 {
 	for (size_t i = 0; load && i < load->n_heard; i++) {
@@ -115,8 +115,8 @@
 /*
  * lw_mesh_apply_store_read() - uses the peer's time of the last store read only if the peer
  * has no newer document than this node; otherwise this node would consider itself up to
- * date while it still fetches. A peer with an older store era is ignored, too: what it read
- * says nothing about the store now.
+ * date while it still fetches. The time is also ignored if the peer has an older store era:
+ * what that peer read says nothing about the store now.
  */
 void lw_mesh_apply_store_read(lw_link_t *l)
 {
@@ -143,7 +143,10 @@
 	}
 	lw_mesh_fetch_from(l);
 	push_servers(l);
-	/* the reply makes a peer that is behind fetch, and a peer of an older version send */
+	/*
+	 * this status makes a peer with an older server list fetch the newer one, and a peer
+	 * of an older software version send its newer list
+	 */
 	if (w->is_reply &&
 	    (w->servers_revision < own || (!w->fetches && w->servers_revision > own)))
 		lw_mesh_send_status(l, true);
@@ -184,7 +187,7 @@
 
 /*
  * lw_mesh_set_lapsed_server() - from now on every status asserts that @server is alive
- * although its lease expired; empty to stop.
+ * although its lease expired; with an empty @server no status does.
  */
 void lw_mesh_set_lapsed_server(lw_mesh_t *m, const char *server, uint64_t born_ms)
 {
--- a/src/storereader.c
+++ b/src/storereader.c
@@ -67,8 +67,8 @@
 
 /*
  * lw_storereader_set_deferring() - request loop: sets whether this node lets other nodes
- * retry the store first. In an outage every node of a fleet calls the store, and its calls
- * are charged for, including failed ones.
+ * retry the store first. In an outage every node of a fleet calls the store, which charges
+ * for every call, including failed ones.
  */
 void lw_storereader_set_deferring(lw_storereader_t *f, bool deferring)
 {
@@ -172,9 +172,10 @@
 
 /*
  * lw_storereader_remote_read_recently() - reader thread: returns true if other nodes reach
- * the store, so that failed calls of this node are a local problem and no outage. Right
- * after other nodes reach the store again there was an outage: treating it as a local
- * problem would drop entries that expired in it before their servers can write them again.
+ * the store, so that failed calls of this node are a local problem and no outage. Returns
+ * false while other nodes have only just reached the store again, as this ends an outage:
+ * treating the outage as a local problem would drop entries that expired during it before
+ * their servers can write them again.
  */
 bool lw_storereader_remote_read_recently(const lw_storereader_t *f)
 {
--- a/tests/test_docfetch.c
+++ b/tests/test_docfetch.c
@@ -137,7 +137,7 @@
 	bool in_use;
 	bool is_piece;
 	int from, to;
-	/* sum for both ends: a frame of a connection from before a restart is never delivered */
+	/* sum of both nodes' eras: a frame sent before one of them restarted is never delivered */
 	uint32_t era;
 	lw_docfetch_request_t ask;
 	lw_docfetch_piece_t piece;
--- a/tests/test_meshclosed.c
+++ b/tests/test_meshclosed.c
@@ -31,7 +31,7 @@
 		lw_meshclosed_add(&closed, name, 1, name);
 	CU_ASSERT_FALSE(lw_meshclosed_has(&closed, 1));
 	CU_ASSERT_FALSE(lw_meshclosed_never_received(&closed, 1, 5, 2 * SECOND_US));
-	/* connections that are not evicted are still distinguished */
+	/* connections that were not evicted are still known */
 	CU_ASSERT_TRUE(lw_meshclosed_never_received(&closed, 2, 5, 2 * SECOND_US));
 	/* no sender still waits for a request of a connection closed that long ago */
 	CU_ASSERT_TRUE(lw_meshclosed_never_received(&closed, 1, 5, 120 * SECOND_US));
