--- a/src/explain.c
+++ b/src/explain.c
@@ -135,7 +135,8 @@
 
 /*
  * lw_explain_add() - adds @line if it belongs to the request. Text before
- * "<priority>" is ignored, and so is a line in any other format.
+ * "<priority>" is ignored, and so is a line in any other format. Also counts the
+ * lines that a node reports as dropped.
  */
 void lw_explain_add(lw_explain_t *e, const char *source, const char *line)
 {
--- a/src/fleetconf.c
+++ b/src/fleetconf.c
@@ -163,7 +163,7 @@
 
 /*
  * Returns the index of the first value that is not below @value; of the last
- * value if all are.
+ * value if all are below it.
  */
 static size_t index_among(const uint32_t *v, size_t n, uint32_t value)
 {
--- a/src/fleetconf.h
+++ b/src/fleetconf.h
@@ -77,7 +77,7 @@
 	char zone[LW_NAME_MAX];
 	uint32_t slots;
 	bool draining;
-	uint64_t created; /* position in the store; orders entries of one address */
+	uint64_t created; /* position in the store's history; orders entries of one address */
 } lw_server_entry_t;
 
 typedef struct lw_serverlist {
--- a/src/linux/sock.c
+++ b/src/linux/sock.c
@@ -18,16 +18,16 @@
 #define SOCK_USER_TIMEOUT_MS 2000
 #define SOCK_SEND_TIMEOUT_S  3
 /*
- * The same for a reader that may pause. The kernel treats a closed receive window
- * like a vanished peer, although its probes are answered: callers that read
- * nothing for two seconds got truncated answers, and uploads to a server that
- * paused ended with status 502.
+ * Replaces SOCK_USER_TIMEOUT_MS for a peer that may stop reading for a while.
+ * The kernel treats a closed receive window like a vanished peer, although its
+ * probes are answered: callers that read nothing for two seconds got truncated
+ * answers, and uploads to a server that paused ended with status 502.
  */
 #define SOCK_PAUSE_TIMEOUT_MS 15000
 /*
  * Largest number of connections that wait to be accepted. A full queue drops the
- * SYN packet, which is sent again only after a second: as long as callers wait
- * for an answer.
+ * SYN packet, which is sent again only after a second, and callers wait no longer
+ * than that for an answer.
  */
 #define SOCK_BACKLOG	 4096
 #define SOCK_KEEPIDLE_S	 1
--- a/src/log.c
+++ b/src/log.c
@@ -1,9 +1,9 @@
 /*
- * Syslog-style event lines. Each line has the event number, so that operators can
- * grep for it and look it up in docs/EVENTS.md. Lines of an event loop go through
- * a buffer to a writer thread: a log reader that is paused must not delay
- * requests. The rate of lines about single requests is limited; dropped lines are
- * counted.
+ * Syslog-style event lines. Each line has the event number, so that operators
+ * can grep for it and look it up in docs/EVENTS.md. After
+ * lw_log_start_writer() the lines go through a buffer to a writer thread: a
+ * log reader that is paused must not delay requests. The rate of lines about
+ * single requests is limited; dropped lines are counted.
  */
 #include "log.h"
 
@@ -176,7 +176,10 @@
 	pthread_mutex_unlock(&log_lock);
 }
 
-/* Writes all of @len bytes; if the descriptor fails, the lines are lost and counted. */
+/*
+ * Writes all of @len bytes. If the descriptor fails, the remaining lines are lost
+ * and counted as one dropped line.
+ */
 static void write_all(const char *bytes, size_t len)
 {
 	while (len) {
--- a/src/log.h
+++ b/src/log.h
@@ -1,7 +1,7 @@
 /*
  * Numbered log events, written as syslog-style lines to standard error, or by a
  * writer thread to a descriptor (lwproxy: standard output):
- *   <PRI>Mon DD HH:MM:SS PROG[PID]: E<NNNN> <name> key=value ...
+ *   <PRI>Mon DD HH:MM:SS.mmm PROG[PID]: E<NNNN> <name> key=value ...
  * The table below is the source of docs/EVENTS.md.
  */
 #ifndef LW_LOG_H
--- a/src/proxy_int.h
+++ b/src/proxy_int.h
@@ -26,7 +26,7 @@
 	ev_signal interrupt;
 	ev_signal hangup;
 	uint64_t stop_began_us;
-	uint64_t refusing_us; /* start of refusing requests; 0: not yet */
+	uint64_t refusing_us; /* time when the node began to refuse requests; 0: not yet */
 	uint64_t stop_grace_us; /* time from SIGTERM to SIGKILL, as set when SIGTERM arrived */
 	ev_timer stop_timer; /* runs from SIGTERM on */
 	bool server_was_listed; /* a previous list contained the backend server on this host */
@@ -34,7 +34,7 @@
 	uint64_t store_read_us; /* time of the last known store read, by this or another node */
 	uint64_t urgent_read_us; /* time of the last urgent read of the store */
 	uint64_t peer_read_us; /* time of the last reported store read by another node */
-	char peer_read_from[LW_NAME_MAX]; /* the node that reported it */
+	char peer_read_from[LW_NAME_MAX]; /* the node that reported the read at peer_read_us */
 	uint64_t forwarded_us; /* store_read_us when it was last forwarded to other nodes */
 	uint64_t read_until_us; /* this node keeps reading the store at least until then */
 	bool reads_store; /* this node reads the store at present */
@@ -55,7 +55,7 @@
 	char quota_coordinator[LW_QUOTA_COORDINATORS]
 			      [LW_NAME_MAX]; /* mesh addresses; empty: none */
 	uint64_t quota_node; /* digest of this node's address */
-	uint32_t quota_number[LW_QUOTA_COORDINATORS]; /* newest report to each */
+	uint32_t quota_number[LW_QUOTA_COORDINATORS]; /* number of the newest report to each */
 	bool quota_alone; /* no coordinator replies, as last logged */
 	ev_timer quota_timer; /* runs while the configuration has organisations */
 	uint64_t born_ms; /* start of the backend server's process, Unix time; 0: unknown */
--- a/src/proxylease.c
+++ b/src/proxylease.c
@@ -13,7 +13,7 @@
  * nodes, us
  */
 #define CHECK_INTERVAL_US 500000
-/* how long this node keeps reading the store after the last check, us */
+/* how long this node keeps reading the store after the last step of lease_timer, us */
 #define LEASE_READ_US 2500000
 
 static lw_lease_evidence_t gather_evidence(const lw_proxy_t *p)
--- a/src/proxynews.c
+++ b/src/proxynews.c
@@ -23,7 +23,10 @@
  * forwarded, us
  */
 #define FORWARD_INTERVAL_US 300000
-/* interval at which other nodes are asked while the last store update is too old, us */
+/*
+ * interval at which other nodes are asked while the last store read reported by
+ * one of them is too old, us
+ */
 #define QUERY_INTERVAL_US 100000
 /* the documents, as numbered in mesh frames */
 #define DOCUMENT_CONFIG	 LW__DOCUMENT_KIND__DOCUMENT_CONFIG
@@ -94,10 +97,10 @@
 }
 
 /*
- * Time until which an entry that is missing now may have expired although its
- * server is running, us. The entry was present when the store was last read; a
- * server that left just after that may receive requests until its drain time is
- * over.
+ * Time until which a server whose entry is missing now may still be used, as
+ * the entry may have expired although the server is running, us. The entry was
+ * present when the store was last read; a server that left just after that may
+ * receive requests until its drain time is over.
  */
 static uint64_t lapsed_until_us(const lw_proxy_t *p)
 {
@@ -406,8 +409,8 @@
 }
 
 /*
- * Asks other nodes for their last store read once the last report of one is too
- * old, which does not happen while reports of the readers arrive.
+ * Asks other nodes for their last store read once the last read that another node
+ * reported is too old, which does not happen while reports of the readers arrive.
  */
 static void on_query_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
--- a/src/proxynotice.c
+++ b/src/proxynotice.c
@@ -78,8 +78,8 @@
 
 /*
  * A limit that admits no requests would last forever, as only answers of the
- * server lift it: requests would be refused although the server has recovered. A
- * health check gets an answer.
+ * server lift it: requests would be refused although the server has recovered. The
+ * answer to a health check can lift the limit.
  */
 static void refresh_stale_limit(lw_proxy_t *p)
 {
--- a/src/proxyquota.c
+++ b/src/proxyquota.c
@@ -124,7 +124,7 @@
 
 /*
  * lw_proxy_quota_node_lost() - the connection to @node was lost; if @node is a
- * coordinator, the reports sent to it may be lost too.
+ * coordinator, what it learned from this node's reports may be lost too.
  */
 void lw_proxy_quota_node_lost(lw_proxy_t *p, const char *node)
 {
--- a/src/proxystats.c
+++ b/src/proxystats.c
@@ -20,7 +20,7 @@
 static lw_routestats_t latest_routes;
 static struct {
 	bool wanted; /* atomic */
-	uint64_t number; /* sequence number of the text */
+	uint64_t number; /* sequence number of the text; rises with each new text */
 	char *text;
 	size_t len;
 } status;
--- a/src/proxystop.c
+++ b/src/proxystop.c
@@ -7,10 +7,10 @@
 #include "stopplan.h"
 
 /*
- * Age in microseconds of the oldest request in progress, of callers or of other
- * nodes; 0 if there is none. A request whose answer has arrived stays in progress
- * until its sender has received the answer: an exit would truncate up to a window
- * of it.
+ * Age in microseconds of the oldest request in progress, of callers or of
+ * other nodes; 0 if there is none. A request whose answer has arrived stays in
+ * progress until its sender has received the answer: an exit would cut off its
+ * end, up to a flow control window (LW_CALL_WINDOW) of it.
  */
 static uint64_t oldest_request_us(const lw_proxy_t *p)
 {
--- a/src/timer.c
+++ b/src/timer.c
@@ -41,7 +41,7 @@
 			if (s->next_ms <= now) {
 				/*
 				 * called without the lock, so that the callback
-				 * may use the timer functions
+				 * may call lw_timer_subscribe() and lw_timer_arm()
 				 */
 				s->next_ms = now + s->period_ms;
 				pthread_mutex_unlock(&t->lock);
--- a/src/tomlkeys.c
+++ b/src/tomlkeys.c
@@ -14,7 +14,7 @@
 #include "tomlshim.h"
 #include "xalloc.h"
 
-/* largest settings file, in bytes; a real one is a screen or two of text */
+/* most bytes read of a settings file; a real one is a screen or two of text */
 #define SETTINGS_FILE_MAX (1024 * 1024)
 
 struct walk {
--- a/src/tomlshim.cc
+++ b/src/tomlshim.cc
@@ -47,8 +47,8 @@
 	return reinterpret_cast<const lw_toml_node_t *>(n);
 }
 
-// lw_toml_parse() - parses @len bytes of @text; NULL on error, with the line,
-// column and reason written to @err.
+// lw_toml_parse() - parses @len bytes of @text; NULL on error, with the
+// reason and, if known, the line and column written to @err.
 extern "C" lw_toml_doc_t *lw_toml_parse(const char *text, size_t len, char *err, size_t errlen)
 {
 	try {
@@ -135,7 +135,8 @@
 	return to_handle(to_node(array)->as_array()->get(i));
 }
 
-// lw_toml_each() - calls @fn for each key of @table in document order.
+// lw_toml_each() - calls @fn for each key of @table, in the sorted order in which
+// toml++ keeps them.
 extern "C" void lw_toml_each(const lw_toml_node_t *table, lw_toml_each_fn fn, void *ctx)
 {
 	if (!table || !to_node(table)->is_table())
--- a/tests/explain.sh
+++ b/tests/explain.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Tests of lwctl explain on recorded log lines of two nodes: the text, the JSON
-# output, and an id without log lines.
+# Tests of lwctl explain on recorded log lines: the text, the JSON output, and an
+# id without log lines; and of lwctl check on a configuration with a shared key.
 set -e
 CTL=${CTL:-build/lwctl}
 DIR=$(dirname "$0")/explain
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -76,7 +76,7 @@
 
 /*
  * A document that is not TOML and is read again and again must not leak memory:
- * the parser throws, which must free the new document.
+ * the new document must be freed when the parser throws.
  */
 static void broken_document_leaks_nothing(void)
 {
