--- a/src/bytebuf.c
+++ b/src/bytebuf.c
@@ -8,9 +8,9 @@
 
 #include "xalloc.h"
 
-/* size of the first allocation; fits the head of most requests */
+/* size of the first allocation, bytes; fits the head of most requests */
 #define BYTEBUF_MIN 512
-/* an empty queue releases its memory if it has more than this */
+/* an empty queue releases its memory if it has allocated more than this number of bytes */
 #define BYTEBUF_KEEP 16384
 
 /* lw_bytebuf_free() - release the memory; the queue is empty afterwards. */
--- a/src/bytebuf.h
+++ b/src/bytebuf.h
@@ -7,7 +7,7 @@
 
 #include "lwstr.h"
 
-/* All zero is an empty queue. Its bytes are those from data + start up to data + end. */
+/* An all-zero struct is an empty queue. The bytes of the queue are data[start] to data[end - 1]. */
 typedef struct lw_bytebuf {
 	char *data;
 	size_t start;
--- a/src/lwburn.c
+++ b/src/lwburn.c
@@ -3,10 +3,10 @@
  * nodes' counters several times (lwnode: lw_requests_total by service, class
  * and outcome; lwproxy: lw_route_requests_total by route, kind and outcome)
  * and prints the burn rate per service and class, or per route and kind, over
- * the last interval (short window) and the whole run (long window). The burn
- * rate is the share of requests that were not done divided by the share that
- * the objective allows (the multiwindow burn-rate alert of Google's SRE
- * Workbook, ch. 5).
+ * the last interval between reads (short window) and the whole run of the nodes
+ * (long window). The burn rate is the share of requests that were not done
+ * divided by the share that the objective allows (the multiwindow burn-rate
+ * alert of Google's SRE Workbook, ch. 5).
  * Output: a text table, optional CSV, optional PNG bar chart (cairo).
  */
 #include <cairo.h>
@@ -50,7 +50,7 @@
 	return !strcmp(o, "done") ? 0 : !strcmp(o, "not_run") ? 1 : !strcmp(o, "unknown") ? 2 : -1;
 }
 
-/* outcomes of lwproxy's routes; requests whose caller left are not counted */
+/* outcomes of lwproxy's routes; requests whose caller disconnected are not counted */
 static int route_outcome_index(const char *o)
 {
 	static const struct {
--- a/src/lwctl.c
+++ b/src/lwctl.c
@@ -10,8 +10,9 @@
  *   lwctl events                print the log event catalogue
  * ADMIN is the admin address ip:port of the node, for lwproxy the address of
  * its metrics. --json prints the result of explain as JSON. Exit status: 0 on
- * success, 1 on a negative result (invalid file, no log line of the request),
- * 2 on wrong usage.
+ * success, 1 on a negative result (invalid file, no log line of the request,
+ * node unreachable or request rejected), 2 on wrong usage or if check or
+ * explain cannot open a file.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/lwload_int.h
+++ b/src/lwload_int.h
@@ -14,8 +14,11 @@
 #define TARGETS_MAX 64
 #define SECONDS_MAX 600
 
-/* where requests are sent: to a node's path for callers, to a node's outbound path (as a call
- * between services, which passes two nodes), or directly to a backend server */
+/*
+ * Where requests are sent: to a node's path for callers, to a node's outbound
+ * path (as a call between services, which passes two nodes), or directly to a
+ * backend server.
+ */
 typedef enum path_mode { PATH_CALL, PATH_OUT, PATH_DIRECT } path_mode_t;
 
 typedef struct route {
--- a/src/lwloadreport.c
+++ b/src/lwloadreport.c
@@ -25,7 +25,7 @@
 	double p99_ms;
 } window_stats_t;
 
-/* results from second @from up to, excluding, second @to; samples must be sorted by second */
+/* results from second @from up to, but excluding, second @to; samples must be sorted by second */
 static window_stats_t window_stats_of(size_t from, size_t to)
 {
 	size_t first = 0, n = 0, good = 0, p99;
@@ -51,7 +51,7 @@
 /*
  * Recovery time in seconds: from the end of the surge until the first second
  * whose success ratio is within 10% and whose p99 is within 10% or 10 ms of
- * the values before the surge. -1 if the run ends before.
+ * the values before the surge. Returns -1 if no second of the run meets this.
  */
 static int recovery_s(void)
 {
--- a/src/lwstub_backend.c
+++ b/src/lwstub_backend.c
@@ -4,9 +4,9 @@
  * It simulates a service time, is slower while cold, calls other services
  * through its node, drains, and can be made slow. A request whose deadline
  * would pass is cancelled before its commit point and reported as "not run".
- * After the execution of a downstream call that is not a read ("?") it is
- * reported as "unknown" instead. Every committed execution is written to the
- * log for the history checker:
+ * Once a downstream call that is not a read has been executed, the request is
+ * never reported as "not run" but as "unknown"; --calls marks reads with "?".
+ * Every committed execution is written to the log for the history checker:
  *   exec SERVICE ROUTE KEY REQUEST_ID
  */
 #include <math.h>
@@ -38,7 +38,7 @@
 	char node[LW_NAME_MAX];
 	unsigned slots;
 	unsigned busy;
-	unsigned queue, waiting; /* requests that may wait for a slot, and that do */
+	unsigned queue, waiting; /* limit and number of the requests that wait for a slot */
 	pthread_cond_t slot_free;
 	double service_ms;
 	unsigned cold_ms;
@@ -92,7 +92,10 @@
 	pthread_mutex_unlock(&be.lock);
 }
 
-/* service time: exponential around the mean, three times slower while cold */
+/*
+ * Service time in ms: exponential with scale be.service_ms, truncated at three
+ * times the scale; three times longer while cold; extra_ms is added.
+ */
 static unsigned service_time(void)
 {
 	static unsigned short seeds;
@@ -113,8 +116,8 @@
 }
 
 /*
- * Call the downstream services of @route in order. Returns false if a call
- * failed; @resp is the answer to the request then. @retries is increased by the
+ * Call the downstream services of @route in order. If a call fails, set @resp
+ * to the answer to the request and return false. @retries is increased by the
  * retries of the calls; @had_effects is set after a call that is not a read.
  */
 static bool call_downstream(const lw_http_req_t *req, const char *route, uint64_t deadline_at,
@@ -152,7 +155,11 @@
 			      key == NULL || !key[0], &r);
 		*retries += r.retries_used;
 		if (r.fail || strcmp(r.outcome, "done") || r.status >= 500) {
-			/* nothing is committed here: the callee's outcome is that of the request */
+			/*
+			 * nothing is committed here, so the request has the callee's
+			 * outcome; it is "unknown" if the callee reported none or "done"
+			 * with an error, or if an earlier call had effects
+			 */
 			const char *o = r.fail || *had_effects || !r.outcome[0] ||
 							strcmp(r.outcome, "done") == 0 ?
 						"unknown" :
--- a/src/lwstub_relay.c
+++ b/src/lwstub_relay.c
@@ -5,7 +5,7 @@
  *   SIGUSR1  open connections stop forwarding for good; new ones work
  *   SIGUSR2  starts or ends a partition. During a partition nothing is
  *            forwarded and new connections are accepted but stay silent;
- *            connections opened before stay silent after its end
+ *            connections that were open at its start stay silent after its end
  */
 #include <poll.h>
 #include <pthread.h>
--- a/src/node.c
+++ b/src/node.c
@@ -18,7 +18,7 @@
 
 #define RECORDS_TICK_MS 500 /* interval of the expiry of records */
 #define ALIVE_TICK_MS	100
-#define PAUSE_MIN_MS	500 /* a timer gap of this length means that the process was paused */
+#define PAUSE_MIN_MS	500 /* a timer gap of at least this length: the process was paused */
 #define NAIVE_WORKERS	1024
 #define LINGER_QUIET_MS 300 /* after a drain: exit once no request has arrived for this time */
 #define LINGER_MAX_MS	2000 /* after a drain: exit at the latest after this time */
@@ -197,9 +197,9 @@
 
 /*
  * lw_node_paused_ms() - length in ms of a pause of the process that has just
- * ended, or 0. Requests that waited in the sockets during the pause have that
- * much less time left; executing them without the deduction would be work for
- * callers that have already timed out.
+ * ended, or 0 if there was none. Requests that waited in the sockets during the
+ * pause have that much less time left; executing them without the deduction
+ * would be work for callers that have already timed out.
  */
 uint32_t lw_node_paused_ms(lw_node_t *n)
 {
--- a/src/node.h
+++ b/src/node.h
@@ -1,8 +1,8 @@
 /*
- * The node: the I/O around one reducer. It serves callers and the outbound
- * calls of its backend server over HTTP, peers over protobuf frames and
- * operators on the admin port, and it watches the configuration service. All
- * input becomes events for the policy (policy.h).
+ * The node: the I/O around one reducer (policy.h). It serves callers and the
+ * outbound calls of its backend server over HTTP, peers over protobuf frames
+ * and operators on the admin port, and it watches the configuration service.
+ * It turns all input into events for the reducer.
  */
 #ifndef LW_NODE_H
 #define LW_NODE_H
--- a/src/simfleet.c
+++ b/src/simfleet.c
@@ -18,7 +18,7 @@
 #include "simfleet_int.h"
 #include "xalloc.h"
 
-/* retry-after delay for rejected callers if no server announced one, ms, as in lwproxy */
+/* retry-after delay for rejected callers if no server announced one, ms, as in retryafter.h */
 #define RETRY_AFTER_DEFAULT_MS 250
 /* initial value of a node's average service time, us, as in gate.c */
 #define SERVICE_FIRST_US 50000
--- a/src/simfleet.h
+++ b/src/simfleet.h
@@ -33,9 +33,9 @@
 	double work_ms; /* mean work at the server, without calls and at speed 1 */
 	uint32_t priority; /* 0 is the most urgent */
 	uint32_t target_ms; /* latency objective */
-	uint32_t deadline_ms; /* the user retries only until this time */
-	uint32_t timeout_ms; /* of one try */
-	uint32_t retries; /* tries of the user after a rejected one */
+	uint32_t deadline_ms; /* counted from the first try; bounds the retry-after delay */
+	uint32_t timeout_ms; /* of one try of the user, or of one nested call */
+	uint32_t retries; /* number of further tries of the user after rejections */
 	bool idempotent;
 	lw_sim_count_t count;
 	uint16_t *latency_ms; /* of the answered requests */
--- a/src/simload.c
+++ b/src/simload.c
@@ -172,7 +172,7 @@
 /* lw_sim_has_mechanism() - whether the selected policy has mechanism @m and it is enabled. */
 bool lw_sim_has_mechanism(const lw_sim_t *s, lw_sim_mechanism_t m)
 {
-	/* policies are ordered: all up to this one have the mechanism */
+	/* the last policy that has the mechanism; all policies before it in the enum have it too */
 	static const lw_sim_policy_t last[LW_SIM_MECHANISMS] = {
 		[LW_SIM_LEVELS] = LW_SIM_SPREAD,      [LW_SIM_OBJECTIVE_ORDER] = LW_SIM_NO_LEVELS,
 		[LW_SIM_WEIGHED_RANKS] = LW_SIM_FULL, [LW_SIM_LOWEST_RANKS] = LW_SIM_FULL,
--- a/src/simresult.c
+++ b/src/simresult.c
@@ -62,7 +62,10 @@
 	return peak;
 }
 
-/* lw_sim_recovery_s() - seconds from the end of the burst until 95% meet their objective again. */
+/*
+ * lw_sim_recovery_s() - seconds from the end of the burst until 95% of the user
+ * requests of a second meet their objective again, or until the end of the run.
+ */
 double lw_sim_recovery_s(const lw_sim_t *s)
 {
 	uint32_t end = (uint32_t)(s->burst_at_s + s->burst_for_s);
--- a/src/simserver.c
+++ b/src/simserver.c
@@ -8,9 +8,12 @@
 #include "admit.h"
 #include "simfleet_int.h"
 
-/* longest useful wait in a server's queue, percent of the latency objective, as in lwproxy */
+/*
+ * longest useful wait of a user request in a server's queue, percent of its
+ * latency objective, as in exchattempt.c
+ */
 #define QUEUE_NEW_PERCENT 35
-/* weight of one request in a node's average service time, as in gate.c */
+/* weight of one request in a node's average service time, as in gatejob.c */
 #define SERVICE_EWMA 0.05
 /* spread of the work around its mean: sigma of a log-normal distribution */
 #define WORK_SIGMA 0.3
