--- a/tests/mesh/crashes.py
+++ b/tests/mesh/crashes.py
@@ -15,7 +15,7 @@
     def __init__(self, f, service, path, after=0.07, take=True):
         self.f, self.path, self.after = f, path, after
         self.sends = []  # times at which the request reached a server
-        self.ends = []  # times at which a server crashed while it executed it
+        self.ends = []  # times at which a server crashed while it executed the request
         self.tasks = []
         self.down = set()
         for n in f.nodes[service] if take else []:
@@ -120,8 +120,8 @@
 
 @test({"front": 2, "back": 6})
 async def test_popular_lookup_survives_a_dying_rack(f):
-    """Guards against holding back a lookup that every caller sends as the cause, when
-    half of its servers crash at once, three times."""
+    """Guards against holding back a lookup that every caller sends, as the supposed cause
+    when half of its servers crash at once, three times."""
     crashes = Crashes(f, "back", "/never")
     answers = []
 
--- a/tests/mesh/fates.py
+++ b/tests/mesh/fates.py
@@ -55,9 +55,9 @@
 @test({"front": 1, "back": 2}, relays=True)
 async def test_connections_reset_at_a_stopping_node(f):
     """Guards against a 502 for an order in execution when the connection between the
-    nodes is reset while the node beside the server is stopping: that node gave the
-    order up at once instead of waiting for an outcome query. The same reset without a
-    stop is answered 200."""
+    nodes is reset while the node beside the server is stopping, and that node gives the
+    order up at once. The node must wait for an outcome query, so that the order is
+    answered 200, as after the same reset without a stop."""
     def stop_and_reset(relay):
         node = next(n for n in f.nodes["back"] if n.relay is relay)
         if runs_at(node, "running"):
@@ -101,8 +101,8 @@
     connection (moved). Then the process beside the server ends. If the sender compares
     the upload's position in the first connection with what it wrote to the second one,
     it takes the upload for unsent and sends it to another server (log: E1410 fate_heard
-    moved=, E1411 link_ended unsent= moved_here=, E1310 request_retried
-    after=unsent)."""
+    moved=2, E1411 link_ended streams=2 unsent=2 moved_here=2 written=43795, E1310
+    request_retried after=unsent given=0)."""
     node, host = f.nodes["front"][0], f.nodes["back"][0]
     begin, second_takes = await upload_to_first(f, "moved")
     host.signal(signal.SIGSTOP)
@@ -126,8 +126,8 @@
     the second. The host has moved the upload to the second connection, and closes that
     one, because the query about it does not name the upload, which the sender does not
     know to be there yet. If the sender does not ask again, it takes the upload for
-    unsent (log: E1410 fate_heard moved=, E1407 link_lost silent=1, no further E1408
-    fate_asked, then E1411 link_ended unsent= moved_here=). The test delays the data
+    unsent (log: E1410 fate_heard moved=2, E1407 link_lost silent=1 streams=3, no further
+    E1408 fate_asked, then E1411 link_ended unsent=2 moved_here=2). The test delays the data
     from the host instead of pausing the host, so that everything arrives in the order
     of sending."""
     node, host = f.nodes["front"][0], f.nodes["back"][0]
@@ -210,7 +210,7 @@
     its server executes it: the host beside the server is paused for a moment and does
     not answer the outcome query in 0.6 s, which must not count as the end of the host
     (log: E1407 link_lost heard=1, E1408 fate_asked lost=1 new=1, E1411 link_ended
-    waited_ms=643, E1308 status=502 why=broken given=1)."""
+    streams=1 unsent=0 waited_ms=643, E1308 status=502 why=broken given=1)."""
     async def reset_and_frozen(host):
         host.signal(signal.SIGSTOP)
         host.relay.reset_all()
@@ -224,7 +224,7 @@
 async def test_unread_order_goes_elsewhere(f):
     """Guards against a 502 for an order that no server received: it lies unread in a
     paused host, and its connection is reset there. As in the test above, the wait for
-    the host's answer ended too soon (log: E1411 link_ended streams=1 unsent=0
+    the host's answer must not end too soon (log: E1411 link_ended streams=1 unsent=0
     waited_ms=692)."""
     begin, second_takes = await upload_to_first(f, "unread")
     host = f.nodes["back"][0]
@@ -331,9 +331,9 @@
 async def test_answer_lost_with_its_connection(f):
     """Guards against a 502 for an order that its server has answered: the connection
     goes silent while the order is executed, and the host writes the answer there and
-    forgets it. Asked half a second later, the host can report only that the order may
+    forgets it. Asked half a second later, the host could report only that the order may
     have been executed (log: E1409 fate_told known=1 streams=1 moved=0 never=0
-    maybe_ran=1)."""
+    maybe_ran=1). It must retain the answer for the outcome query."""
     async def quick(s, head, rid, stage):
         if stage == "run" and rid == "answered":
             await asyncio.sleep(0.2)
@@ -509,8 +509,8 @@
 async def test_idle_connection_closed_while_the_host_stands_still(f):
     """Guards against a 502 for an order that its server never received: while the host
     beside the server is paused, the server closes its idle connections, and the order
-    arrives. When the host resumes, it reads the order first and sends it on a
-    connection whose end lies unread in the kernel; what is sent there may have been
+    arrives. When the host resumes, it reads the order first and must not send it on a
+    connection whose end lies unread in the kernel, as what is sent there may have been
     executed."""
     node, host = f.nodes["front"][0], f.nodes["back"][0]
     for i in range(4):
--- a/tests/mesh/stops.py
+++ b/tests/mesh/stops.py
@@ -201,12 +201,12 @@
 @test({"front": 2, "back": 1})
 async def test_stopping_node_serves_calls_of_running_work(f):
     """Guards against requests that fail with 500 at the server beside a stopping node:
-    the node accepted requests from other nodes until four seconds after SIGTERM, but no
-    connection from its own host after three, by which the server makes the calls of its
-    running requests. Of 41 requests that began in the five seconds after SIGTERM, the
-    last 13 accepted, from 2.8 s on, ended with 500. Here a request whose answer is lost
-    keeps the only node of a service from exiting. Requests that make a call go on, and
-    none that is accepted fails."""
+    the node accepts requests from other nodes until four seconds after SIGTERM, but no
+    connection from its own host after three, although the server makes the calls of its
+    running requests over such connections. Of 41 requests that began in the five seconds
+    after SIGTERM, the last 13 accepted, from 2.8 s on, ended with 500. Here a request
+    whose answer is lost keeps the only node of a service from exiting. Requests that make
+    a call go on, and none that is accepted fails."""
     busy = f.nodes["back"][0]
 
     async def work(s, head, rid, stage):
@@ -392,9 +392,9 @@
     arrived at a stopping node in the loop iteration in which the node decided to exit,
     as nothing was in progress. Data that had arrived was still read in that iteration
     and sent on with the last frames, though the node could not wait for the answer any
-    more; the server executed the request. Here the node is paused while the moment of
-    its exit passes and a request arrives. A request that gets no answer must not have
-    reached a server."""
+    more; the server executed the request (sent 2.465 s after SIGTERM, its connection
+    closed 36 ms later). Here the node is paused while the moment of its exit passes and
+    a request arrives. A request that gets no answer must not have reached a server."""
     async def slow(s, head, rid, stage):
         if stage == "run":
             await asyncio.sleep(0.3)
@@ -435,7 +435,7 @@
     received, in a rolling restart, 11 to 42 ms after they came, as another node's
     process exits: they are on connections that its kernel still accepts, but that the
     process never reads (log: E1308 request_ended status=502 why=broken given=1
-    maybe_ran=1, E1407 link_lost streams=1 unsent=0 connected=1 heard=0). Here
+    maybe_ran=1 after_ms=12, E1407 link_lost streams=1 unsent=0 connected=1 heard=0). Here
     connections to one node are accepted and reset before it sends a byte: a request
     that must not be executed twice goes to the other node."""
     node, victim = f.nodes["front"][0], f.nodes["back"][0]
--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -216,7 +216,7 @@
 }
 
 # surge_run NAME POLICY SECONDS: one run; the payment service is slowed down
-# from 4 s to 10 s after its start
+# from 4 s to 10 s after the start of the load
 surge_run() {
 	SERVICE_MS=20 cluster_start "$DIR" 21000 "$2" || exit 1
 	# shellcheck disable=SC2046
