--- a/tests/mesh/leaving.py
+++ b/tests/mesh/leaving.py
@@ -242,7 +242,7 @@
     work(f)
     node = f.nodes["back"][0]
     copy = f.store.copy()
-    f.beats.cancel()  # what the copy lacks is not written again
+    f.beats.cancel()  # heartbeats do not write the entries that the copy lacks again
     async with Callers(f, f.all()) as callers:
         node.server.draining, node.server.says = True, [SAYS]
         f.register(node.server)
--- a/tests/soak/series.py
+++ b/tests/soak/series.py
@@ -20,7 +20,7 @@
 START_S = 0.5
 # seconds within which a node logs the result of a SIGHUP, also while it is stopping
 HANGUP_S = 1.5
-# least seconds between the beginnings of rolls, as rolls would displace all other steps otherwise
+# minimum seconds between the starts of two rolls; rolls would displace other steps otherwise
 ROLL_S = 4.0
 # settings that a node must accept on SIGHUP; BAD_SETTINGS are those it must reject
 GOOD_SETTINGS = [{"retry_extra": 47}, {"retry_extra": 5}, {"retry_ratio": 0.05},
