--- a/src/meshrecover.c
+++ b/src/meshrecover.c
@@ -1,6 +1,6 @@
 /*
  * Handles connections that were lost with requests in flight, and answers outcome queries
- * of nodes that sent requests over such a connection. meshask.c implements the querying
+ * of nodes that sent requests over such a connection. meshquery.c implements the querying
  * side.
  */
 #include "mesh_int.h"
