--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -18,7 +18,8 @@
 		.used_below = lw_overload_retry_used(e->overload, x->route),
 	};
 
-	if (lw_retrylimit_take(&x->service->retries, &e->place.terms, &at, e->evloop->now_us)) {
+	if (lw_retrylimit_take(&x->service->retries, &e->place.retry_allowance, &at,
+			       e->evloop->now_us)) {
 		e->stats.retries++;
 		return true;
 	}
@@ -111,8 +112,8 @@
 static void apply_load(lw_exchange_t *x, const lw_load_t *load, bool served)
 {
 	lw_engine_t *e = x->engine;
-	uint32_t used = lw_retrylimit_used(&x->service->retries, &e->place.terms, e->place.nsharing,
-					   e->evloop->now_us);
+	uint32_t used = lw_retrylimit_used(&x->service->retries, &e->place.retry_allowance,
+					   e->place.nsharing, e->evloop->now_us);
 	lw_load_t path = *load;
 
 	if (x->host && lw_place_load_reported(x->host, load, e->evloop->now_us))
--- a/src/organisation.c
+++ b/src/organisation.c
@@ -112,11 +112,11 @@
 }
 
 /*
- * lw_orgs_seal() - build the hash table; call once after the last key is added.
+ * lw_orgs_finish() - build the hash table; call once after the last key is added.
  * LW_ERR_CONFIG if two organisations have the same key, as requests with that key could
  * not be attributed to either.
  */
-lw_status_t lw_orgs_seal(lw_orgs_t *o)
+lw_status_t lw_orgs_finish(lw_orgs_t *o)
 {
 	o->nslots = slots_for(o->nkeys);
 	o->slots = xcalloc(o->nslots, sizeof(*o->slots));
--- a/src/organisation.h
+++ b/src/organisation.h
@@ -35,7 +35,7 @@
 void lw_orgs_free(lw_orgs_t *o);
 lw_organisation_t *lw_orgs_add(lw_orgs_t *o, lw_str_t name);
 void lw_orgs_add_key(lw_orgs_t *o, lw_str_t key);
-lw_status_t lw_orgs_seal(lw_orgs_t *o);
+lw_status_t lw_orgs_finish(lw_orgs_t *o);
 size_t lw_orgs_count(const lw_orgs_t *o);
 const lw_organisation_t *lw_orgs_at(const lw_orgs_t *o, size_t i);
 const lw_organisation_t *lw_orgs_by_key(const lw_orgs_t *o, lw_str_t key);
--- a/src/place.c
+++ b/src/place.c
@@ -57,13 +57,13 @@
 
 /* lw_place_init() - an empty state; @zone and @backend are those of this host. */
 void lw_place_init(lw_place_t *p, const char *zone, const char *backend, uint32_t mesh_port,
-		   lw_retryallowance_t terms)
+		   lw_retryallowance_t retry_allowance)
 {
 	memset(p, 0, sizeof(*p));
 	lw_str_copy(p->zone, sizeof(p->zone), lw_str_c(zone));
 	lw_str_copy(p->backend, sizeof(p->backend), lw_str_c(backend));
 	p->mesh_port = mesh_port;
-	p->terms = terms;
+	p->retry_allowance = retry_allowance;
 }
 
 static bool was_tried(const lw_place_tried_t *tried, const lw_place_host_t *h)
--- a/src/place.h
+++ b/src/place.h
@@ -55,7 +55,7 @@
 	uint32_t mesh_port;
 	uint32_t nhosts; /* number of listed hosts */
 	uint32_t nsharing; /* hosts whose nodes may send retries: listed now or recently */
-	lw_retryallowance_t terms;
+	lw_retryallowance_t retry_allowance;
 } lw_place_t;
 
 /* A load report that is older than this is ignored, us. */
@@ -77,7 +77,7 @@
 } lw_place_query_t;
 
 void lw_place_init(lw_place_t *p, const char *zone, const char *backend, uint32_t mesh_port,
-		   lw_retryallowance_t terms);
+		   lw_retryallowance_t retry_allowance);
 void lw_place_free(lw_place_t *p);
 void lw_place_update(lw_place_t *p, const lw_serverlist_t *sl, uint64_t now_us,
 		     uint64_t lapsed_until_us);
--- a/src/proxy.c
+++ b/src/proxy.c
@@ -33,7 +33,7 @@
 	p->set->retry_window_s = fresh.retry_window_s;
 	p->set->log_request_lines = fresh.log_request_lines;
 	lw_log_limit(p->set->log_request_lines);
-	p->engine.place.terms = lw_proxy_settings_retryterms(p->set);
+	p->engine.place.retry_allowance = lw_proxy_settings_retry_allowance(p->set);
 	p->set->quota_window_s = fresh.quota_window_s;
 	p->set->quota_overage = fresh.quota_overage;
 	p->set->quota_slack = fresh.quota_slack;
@@ -61,7 +61,7 @@
 		.log_dropped = lw_log_dropped(),
 		.longest_iteration_us = p->evloop.longest_iteration_us,
 		.suspects = lw_quarantine_count(p->engine.quarantine),
-		.reader = lw_fanout_is_reader(&p->spread),
+		.reader = lw_fanout_is_reader(&p->fanout),
 		.ready = p->engine.conf && p->engine.place.nhosts && !p->evloop.leaving,
 		.leaving = p->evloop.leaving,
 	};
@@ -79,11 +79,11 @@
 		.servers_revision = p->servers ? p->servers->revision : 0,
 		.news_age_ms = lw_proxy_update_age_ms(p),
 		.ready = p->engine.conf && p->engine.place.nhosts && !p->evloop.leaving,
-		.reader = lw_fanout_is_reader(&p->spread),
+		.reader = lw_fanout_is_reader(&p->fanout),
 		.reads_store = p->reads_store,
 		.reads_why = p->reads_why,
 		.peer_read_from = p->peer_read_from,
-		.spread = &p->spread,
+		.fanout = &p->fanout,
 		.quota_coordinator = p->quota_coordinator,
 		.mesh = lw_mesh_stats(p->engine.mesh),
 		.store_reader = &p->store_reader.stats,
@@ -176,7 +176,7 @@
 	lw_proxy_lease_init(p);
 	lw_proxy_quota_init(p);
 	lw_place_init(&p->engine.place, set->zone, set->backend, set->mesh_port,
-		      lw_proxy_settings_retryterms(set));
+		      lw_proxy_settings_retry_allowance(set));
 	p->engine.quarantine = lw_quarantine_new();
 	lw_gate_init(&p->engine.gate, &p->evloop, p->engine.quarantine);
 	lw_proxy_notice_init(p);
@@ -188,7 +188,7 @@
 	lw_evloop_on_tick(&p->evloop, on_tick, p);
 	st = listen_all(p);
 	if (!st)
-		st = lw_proxy_start_feed(p);
+		st = lw_proxy_start_store_reader(p);
 	if (st)
 		return st;
 	lw_log(LW_LOG_started, "service=%s zone=%s callers=%s backend=%s", set->service, set->zone,
--- a/src/proxy_int.h
+++ b/src/proxy_int.h
@@ -21,7 +21,7 @@
 	lw_engine_t engine;
 	lw_callers_t *callers;
 	lw_storereader_t store_reader;
-	ev_async feed_wakeup;
+	ev_async reader_wakeup;
 	ev_signal term;
 	ev_signal interrupt;
 	ev_signal hangup;
@@ -40,7 +40,7 @@
 	bool reads_store; /* this node reads the store at present */
 	lw_storereader_reason_t reads_why;
 	ev_timer query_timer;
-	lw_fanout_t spread; /* this node's place in the fan-out of store updates */
+	lw_fanout_t fanout; /* this node's place in the fan-out of store updates */
 	lw_revdoc_t documents[2]; /* the configuration and the list of backend servers */
 	char mesh_addr[LW_NAME_MAX]; /* mesh address of this node, as other nodes know it */
 	lw_lease_t lease; /* lease of the backend server on this host */
@@ -62,7 +62,7 @@
 } lw_proxy_t;
 
 extern const lw_mesh_ops_t lw_proxy_mesh_ops;
-lw_status_t lw_proxy_start_feed(lw_proxy_t *p);
+lw_status_t lw_proxy_start_store_reader(lw_proxy_t *p);
 void lw_proxy_refresh_list(void *ctx);
 const lw_suspect_t *lw_proxy_merge_suspect(void *ctx, const lw_suspect_t *told);
 size_t lw_proxy_list_suspects(void *ctx, const lw_suspect_t **out, size_t most);
--- a/src/proxynews.c
+++ b/src/proxynews.c
@@ -56,8 +56,8 @@
 	char node[LW_NAME_MAX];
 
 	p->forwarded_us = p->store_read_us;
-	for (size_t i = 0; i < p->spread.nchildren; i++) {
-		lw_place_node_addr(node, sizeof(node), p->spread.child[i], p->set->mesh_port);
+	for (size_t i = 0; i < p->fanout.nchildren; i++) {
+		lw_place_node_addr(node, sizeof(node), p->fanout.child[i], p->set->mesh_port);
 		lw_mesh_send_state(p->engine.mesh, node);
 	}
 }
@@ -152,7 +152,7 @@
 	p->server_was_listed |= known;
 	lw_serverlist_free(p->servers);
 	p->servers = sl;
-	lw_fanout_plan(sl, p->set->backend, p->set->zone, &p->spread);
+	lw_fanout_plan(sl, p->set->backend, p->set->zone, &p->fanout);
 	lw_proxy_quota_update_servers(p, sl);
 	forward_update(p);
 }
@@ -170,7 +170,7 @@
 	lw_storereader_start(&p->store_reader, why);
 	lw_storereader_set_deferring(&p->store_reader,
 				     why == LW_STOREREADER_STALE && p->servers &&
-					     !lw_fanout_is_reader_or_substitute(&p->spread));
+					     !lw_fanout_is_reader_or_substitute(&p->fanout));
 	/*
 	 * several reasons may apply at once: log only a new reason that outlasts
 	 * the others
@@ -181,7 +181,7 @@
 	p->reads_why = why;
 	lw_log(LW_LOG_store_reading, "why=%s news_age_ms=%u others_age_ms=%llu rank=%u",
 	       lw_storereader_reason_name(why), lw_proxy_update_age_ms(p),
-	       (unsigned long long)((p->evloop.now_us - p->peer_read_us) / 1000), p->spread.rank);
+	       (unsigned long long)((p->evloop.now_us - p->peer_read_us) / 1000), p->fanout.rank);
 }
 
 static void stop_reading(lw_proxy_t *p)
@@ -190,7 +190,7 @@
 	if (p->reads_store)
 		lw_log(LW_LOG_store_reading, "why=none others_age_ms=%llu rank=%u",
 		       (unsigned long long)((p->evloop.now_us - p->peer_read_us) / 1000),
-		       p->spread.rank);
+		       p->fanout.rank);
 	p->reads_store = false;
 }
 
@@ -213,19 +213,19 @@
 static void update_reading(lw_proxy_t *p)
 {
 	uint64_t now = p->evloop.now_us;
-	bool old = now > p->peer_read_us + (uint64_t)p->spread.read_after_ms * 1000;
+	bool old = now > p->peer_read_us + (uint64_t)p->fanout.read_after_ms * 1000;
 
-	if (lw_fanout_is_reader(&p->spread))
+	if (lw_fanout_is_reader(&p->fanout))
 		start_reading(p, LW_STOREREADER_ELECTED);
 	else if (old)
 		lw_proxy_read_store_for(
-			p, lw_fanout_is_reader_or_substitute(&p->spread) ? SUBSTITUTE_READ_US : 0,
+			p, lw_fanout_is_reader_or_substitute(&p->fanout) ? SUBSTITUTE_READ_US : 0,
 			LW_STOREREADER_STALE);
 	else if (p->servers && now >= p->read_until_us)
 		stop_reading(p);
 }
 
-static void on_feed_wakeup(struct ev_loop *loop, ev_async *w, int revents)
+static void on_reader_wakeup(struct ev_loop *loop, ev_async *w, int revents)
 {
 	lw_proxy_t *p = w->data;
 	lw_fleetconf_t *fc = lw_mailbox_take(&p->store_reader.conf);
@@ -438,15 +438,15 @@
 	lw_serverlist_free(sl);
 }
 
-/* lw_proxy_start_feed() - starts the thread that reads the store. */
-lw_status_t lw_proxy_start_feed(lw_proxy_t *p)
+/* lw_proxy_start_store_reader() - starts the thread that reads the store. */
+lw_status_t lw_proxy_start_store_reader(lw_proxy_t *p)
 {
-	ev_async_init(&p->feed_wakeup, on_feed_wakeup);
-	p->feed_wakeup.data = p;
-	ev_async_start(p->evloop.loop, &p->feed_wakeup);
+	ev_async_init(&p->reader_wakeup, on_reader_wakeup);
+	p->reader_wakeup.data = p;
+	ev_async_start(p->evloop.loop, &p->reader_wakeup);
 	lw_storereader_init(&p->store_reader, p->set);
 	p->peer_read_us = p->evloop.now_us;
-	lw_fanout_plan(&(lw_serverlist_t){ 0 }, p->set->backend, p->set->zone, &p->spread);
+	lw_fanout_plan(&(lw_serverlist_t){ 0 }, p->set->backend, p->set->zone, &p->fanout);
 	p->reads_store = true;
 	p->reads_why = LW_STOREREADER_START;
 	ev_timer_init(&p->query_timer, on_query_timer, LW_FANOUT_ASK_MS / 1000.0, 0);
@@ -454,10 +454,10 @@
 	ev_timer_start(p->evloop.loop, &p->query_timer);
 	p->store_reader.conf = (lw_mailbox_t){ .release = free_conf,
 					       .loop = p->evloop.loop,
-					       .wake = &p->feed_wakeup };
+					       .wake = &p->reader_wakeup };
 	p->store_reader.in_use = (lw_mailbox_t){ .release = free_servers };
 	p->store_reader.servers = (lw_mailbox_t){ .release = free_servers,
 						  .loop = p->evloop.loop,
-						  .wake = &p->feed_wakeup };
+						  .wake = &p->reader_wakeup };
 	return p->platform->start_store_reader(&p->store_reader);
 }
--- a/src/proxyset.c
+++ b/src/proxyset.c
@@ -39,8 +39,8 @@
 	KS("log", "request_lines_per_s", LW_KEY_U32, log_request_lines),
 };
 
-/* lw_proxy_settings_retryterms() - the fleet-wide limits on retries. */
-lw_retryallowance_t lw_proxy_settings_retryterms(const lw_proxy_settings_t *s)
+/* lw_proxy_settings_retry_allowance() - the fleet-wide limits on retries. */
+lw_retryallowance_t lw_proxy_settings_retry_allowance(const lw_proxy_settings_t *s)
 {
 	return (lw_retryallowance_t){ s->retry_ratio, s->retry_extra, s->retry_window_s };
 }
--- a/src/proxyset.h
+++ b/src/proxyset.h
@@ -37,7 +37,7 @@
 	uint32_t log_request_lines; /* lines per second about single requests; 0: none */
 } lw_proxy_settings_t;
 
-lw_retryallowance_t lw_proxy_settings_retryterms(const lw_proxy_settings_t *s);
+lw_retryallowance_t lw_proxy_settings_retry_allowance(const lw_proxy_settings_t *s);
 void lw_proxy_settings_defaults(lw_proxy_settings_t *s);
 lw_status_t lw_proxy_settings_load(const char *path, lw_proxy_settings_t *s);
 lw_status_t lw_proxy_settings_parse(const char *name, const char *text, size_t len,
--- a/src/proxystatus.c
+++ b/src/proxystatus.c
@@ -74,8 +74,8 @@
 		"news: age_ms=%u from=%s reads_store=%s rank=%u told_nodes=%zu store_calls=%" PRIu64
 		" control_bytes=%" PRIu64 "\n",
 		s->news_age_ms, s->peer_read_from[0] ? s->peer_read_from : "none",
-		s->reads_store ? lw_storereader_reason_name(s->reads_why) : "no", s->spread->rank,
-		s->spread->nchildren, calls, lw_mesh_control_bytes(s->mesh));
+		s->reads_store ? lw_storereader_reason_name(s->reads_why) : "no", s->fanout->rank,
+		s->fanout->nchildren, calls, lw_mesh_control_bytes(s->mesh));
 }
 
 static void print_route(FILE *f, const lw_engine_t *e, const lw_fleet_route_t *r)
--- a/src/proxystatus.h
+++ b/src/proxystatus.h
@@ -25,7 +25,7 @@
 	bool reads_store; /* this node reads the store at present */
 	lw_storereader_reason_t reads_why;
 	const char *peer_read_from; /* the node that reported the newest store read; empty: none */
-	const lw_fanout_t *spread;
+	const lw_fanout_t *fanout;
 	const char (*quota_coordinator)[LW_NAME_MAX]; /* array of LW_QUOTA_COORDINATORS addresses */
 	const lw_mesh_stats_t *mesh;
 	const lw_storereader_stats_t *store_reader;
--- a/tests/test_organisation.c
+++ b/tests/test_organisation.c
@@ -126,7 +126,7 @@
 		snprintf(key, sizeof(key), "key-%d-%x", i, i * 2654435761u);
 		lw_orgs_add_key(o, lw_str_c(key));
 	}
-	CU_ASSERT_EQUAL_FATAL(lw_orgs_seal(o), LW_OK);
+	CU_ASSERT_EQUAL_FATAL(lw_orgs_finish(o), LW_OK);
 	for (int i = 0; i < MANY_KEYS; i += 7) {
 		const lw_organisation_t *org;
 
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -83,7 +83,7 @@
 		org->rate_per_s = limits[i];
 		org->burst = limits[i];
 	}
-	CU_ASSERT_EQUAL(lw_orgs_seal(f->orgs), LW_OK);
+	CU_ASSERT_EQUAL(lw_orgs_finish(f->orgs), LW_OK);
 	for (uint32_t k = 0; k < LW_QUOTA_COORDINATORS; k++)
 		lw_quotacoord_set_limits(f->coordinator[k], f->orgs, f->now_us);
 }
--- a/tools/orgbench.c
+++ b/tools/orgbench.c
@@ -37,7 +37,7 @@
 		key_of(text, sizeof(text), i);
 		lw_orgs_add_key(o, lw_str_c(text));
 	}
-	if (lw_orgs_seal(o))
+	if (lw_orgs_finish(o))
 		exit(1);
 	return o;
 }
