--- a/src/caller.c
+++ b/src/caller.c
@@ -8,12 +8,12 @@
 #include "xalloc.h"
 
 /* limits before a configuration is known */
-#define HEAD_DEFAULT_BYTES 16384
+#define HEAD_LIMIT_BYTES   16384
 #define BODY_DEFAULT_BYTES (64u * 1024 * 1024)
-#define HEAD_DEFAULT_MS	   3000
+#define HEAD_TIMEOUT_MS	   3000
 #define IDLE_DEFAULT_MS	   15000
 /* when the node stops, a connection is closed once it has had no request for this long, us */
-#define NEW_CONN_US 500000
+#define IDLE_GRACE_US 500000
 /* file descriptors reserved for peers, the backend server and files */
 #define FDS_RESERVED 700
 
@@ -231,7 +231,7 @@
 
 	for (lw_caller_t *c = cs->conns; c; c = next) {
 		next = c->next;
-		if (cs->evloop->now_us - c->since_us >= NEW_CONN_US && c->state == CALLER_HEAD &&
+		if (cs->evloop->now_us - c->since_us >= IDLE_GRACE_US && c->state == CALLER_HEAD &&
 		    !lw_bytebuf_len(&c->in) && !c->ready_only && !lw_bytebuf_len(&c->out))
 			lw_caller_close(c);
 	}
@@ -310,7 +310,7 @@
 
 	cs->engine = engine;
 	cs->evloop = engine->evloop;
-	cs->limits = (lw_fleet_limits_t){ HEAD_DEFAULT_BYTES, BODY_DEFAULT_BYTES, HEAD_DEFAULT_MS,
+	cs->limits = (lw_fleet_limits_t){ HEAD_LIMIT_BYTES, BODY_DEFAULT_BYTES, HEAD_TIMEOUT_MS,
 					  IDLE_DEFAULT_MS };
 	ev_check_init(&cs->resume_check, on_resume);
 	cs->resume_check.data = cs;
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -98,7 +98,7 @@
 lw_mesh_t *lw_mesh_new(lw_evloop_t *evloop, lw_gate_t *gate, const lw_mesh_ops_t *ops, void *ctx);
 lw_status_t lw_mesh_listen(lw_mesh_t *m, const char *addr);
 lw_call_t *lw_mesh_call(lw_mesh_t *m, const char *node, lw_sink_t *sink,
-			const lw_call_request_t *ask, lw_str_t body, bool fin);
+			const lw_call_request_t *req, lw_str_t body, bool fin);
 bool lw_mesh_has_unwritten_answers(const lw_mesh_t *m);
 void lw_mesh_close_all(lw_mesh_t *m);
 void lw_mesh_broadcast_status(lw_mesh_t *m);
--- a/src/meshcall.c
+++ b/src/meshcall.c
@@ -272,7 +272,7 @@
 void lw_mesh_on_open(lw_link_t *l, const Lw__Open *o)
 {
 	uint32_t late_ms = (uint32_t)(l->late_us / 1000);
-	lw_call_request_t ask = {
+	lw_call_request_t req = {
 		.head = lw_meshframe_str(o->head),
 		.request_id = lw_meshframe_str(o->request_id),
 		.target = lw_meshframe_str(o->target),
@@ -300,7 +300,7 @@
 	s->as_sink.ops = &sink_ops;
 	s->request_complete = o->fin;
 	lw_stream_add(s, l, o->stream);
-	s->job = lw_gate_submit(l->mesh->gate, &s->as_sink, &ask, lw_meshframe_str(o->body), o->fin,
+	s->job = lw_gate_submit(l->mesh->gate, &s->as_sink, &req, lw_meshframe_str(o->body), o->fin,
 				&why, &retry_after_ms);
 	if (!s->job) {
 		lw_load_t own;
@@ -397,7 +397,7 @@
  * connection attempt can be started.
  */
 lw_call_t *lw_mesh_call(lw_mesh_t *m, const char *node, lw_sink_t *sink,
-			const lw_call_request_t *ask, lw_str_t body, bool fin)
+			const lw_call_request_t *req, lw_str_t body, bool fin)
 {
 	lw_link_t *l = lw_link_to(m, node);
 	Lw__Open o = LW__OPEN__INIT;
@@ -415,16 +415,16 @@
 	if (!ev_is_active(&m->watch_timer))
 		ev_timer_again(m->evloop->loop, &m->watch_timer);
 	o.stream = s->id;
-	o.deadline_ms = ask->deadline_ms;
-	o.queue_ms = ask->queue_ms;
-	o.target_left_ms = ask->target_left_ms;
-	o.rank = ask->rank;
-	o.repeat = ask->repeat;
-	o.notice = lw_meshframe_notice(&notice, &ask->notice);
-	o.body_length = ask->body_length;
-	o.head = lw_meshframe_bytes(ask->head);
-	o.request_id = lw_meshframe_bytes(ask->request_id);
-	o.target = lw_meshframe_bytes(ask->target);
+	o.deadline_ms = req->deadline_ms;
+	o.queue_ms = req->queue_ms;
+	o.target_left_ms = req->target_left_ms;
+	o.rank = req->rank;
+	o.repeat = req->repeat;
+	o.notice = lw_meshframe_notice(&notice, &req->notice);
+	o.body_length = req->body_length;
+	o.head = lw_meshframe_bytes(req->head);
+	o.request_id = lw_meshframe_bytes(req->request_id);
+	o.target = lw_meshframe_bytes(req->target);
 	o.body = lw_meshframe_bytes(body);
 	o.fin = fin;
 	f.body_case = LW__MESH_FRAME__BODY_OPEN;
