--- a/fuzz/fuzz_meshframe.c
+++ b/fuzz/fuzz_meshframe.c
@@ -11,7 +11,7 @@
 {
 	static lw_revdoc_t doc;
 	lw_docfetch_t f = { 0 };
-	lw_docfetch_piece_t piece = lw_meshframe_read_piece(in);
+	lw_docfetch_chunk_t piece = lw_meshframe_read_piece(in);
 	lw_docfetch_request_t ask;
 	lw_serverlist_t *sl;
 	char *text;
@@ -31,11 +31,11 @@
 {
 	static lw_revdoc_t doc;
 	lw_docfetch_request_t ask = lw_meshframe_read_fetch(in);
-	lw_docfetch_piece_t piece;
+	lw_docfetch_chunk_t piece;
 	lw_bytebuf_t out = { 0 };
 
 	lw_revdoc_put(&doc, 1, LW_STR("a document"));
-	if (lw_docfetch_piece(&doc, &ask, &piece))
+	if (lw_docfetch_chunk(&doc, &ask, &piece))
 		lw_meshframe_append_piece(&out, in->kind, &piece);
 	lw_bytebuf_free(&out);
 }
--- a/src/docfetch.c
+++ b/src/docfetch.c
@@ -44,7 +44,7 @@
 }
 
 /* returns true if the chunk continues the received data; a first chunk always does */
-static bool piece_fits(const lw_docfetch_t *f, const lw_docfetch_piece_t *p)
+static bool piece_fits(const lw_docfetch_t *f, const lw_docfetch_chunk_t *p)
 {
 	if (!p->bytes.len || p->of.len > LW_REVDOC_MAX_BYTES ||
 	    p->bytes.len > p->of.len - p->offset)
@@ -55,7 +55,7 @@
 	       p->of.len == f->expected && p->offset == f->got.len;
 }
 
-static void append_piece(lw_docfetch_t *f, const lw_docfetch_piece_t *p)
+static void append_piece(lw_docfetch_t *f, const lw_docfetch_chunk_t *p)
 {
 	if (!p->offset) {
 		discard_pieces(f);
@@ -75,7 +75,7 @@
  * piece->of has its version and length.
  */
 lw_docfetch_result_t lw_docfetch_receive(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d,
-					 const lw_docfetch_piece_t *piece, uint64_t now_us,
+					 const lw_docfetch_chunk_t *piece, uint64_t now_us,
 					 lw_docfetch_request_t *request, char **out)
 {
 	lw_status_t st;
@@ -104,12 +104,12 @@
 }
 
 /*
- * lw_docfetch_piece() - returns in @out the chunk of @d that another node requests; it
+ * lw_docfetch_chunk() - returns in @out the chunk of @d that another node requests; it
  * points into @d. If the requested version is no longer the newest, the transfer restarts
  * with the newest. Returns false if there is no document.
  */
-bool lw_docfetch_piece(lw_revdoc_t *d, const lw_docfetch_request_t *request,
-		       lw_docfetch_piece_t *out)
+bool lw_docfetch_chunk(lw_revdoc_t *d, const lw_docfetch_request_t *request,
+		       lw_docfetch_chunk_t *out)
 {
 	const lw_revdoc_encoded_t *e = lw_revdoc_encode(d, request->base);
 	size_t left;
--- a/src/docfetch.h
+++ b/src/docfetch.h
@@ -27,12 +27,12 @@
 } lw_docfetch_request_t;
 
 /* A chunk of an encoded document. */
-typedef struct lw_docfetch_piece {
+typedef struct lw_docfetch_chunk {
 	/* the document without its bytes; len is the total encoded length */
 	lw_revdoc_encoded_t of;
 	size_t offset;
 	lw_str_t bytes;
-} lw_docfetch_piece_t;
+} lw_docfetch_chunk_t;
 
 typedef enum lw_docfetch_result {
 	LW_DOCFETCH_IGNORED, /* not the requested chunk */
@@ -56,10 +56,10 @@
 void lw_docfetch_start(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d, uint64_t now_us,
 		       lw_docfetch_request_t *request);
 lw_docfetch_result_t lw_docfetch_receive(lw_docfetch_t *f, const void *source, const lw_revdoc_t *d,
-					 const lw_docfetch_piece_t *piece, uint64_t now_us,
+					 const lw_docfetch_chunk_t *piece, uint64_t now_us,
 					 lw_docfetch_request_t *request, char **out);
 void lw_docfetch_source_lost(lw_docfetch_t *f, const void *source);
-bool lw_docfetch_piece(lw_revdoc_t *d, const lw_docfetch_request_t *request,
-		       lw_docfetch_piece_t *out);
+bool lw_docfetch_chunk(lw_revdoc_t *d, const lw_docfetch_request_t *request,
+		       lw_docfetch_chunk_t *out);
 
 #endif
--- a/src/evloop.h
+++ b/src/evloop.h
@@ -54,11 +54,11 @@
 /* Period of the tick callbacks, in seconds. */
 #define LW_EVLOOP_TICK_S 0.5
 
-void lw_evloop_init(lw_evloop_t *h, const lw_proxy_settings_t *set, const lw_wirenames_t *names,
-		    uint64_t seed);
-void lw_evloop_on_tick(lw_evloop_t *h, lw_evloop_fn fn, void *ctx);
-void lw_evloop_on_flush(lw_evloop_t *h, lw_evloop_fn fn, void *ctx);
-void lw_evloop_free_later(lw_evloop_t *h, void *ptr);
-uint32_t lw_evloop_random(lw_evloop_t *h, uint32_t below);
+void lw_evloop_init(lw_evloop_t *evloop, const lw_proxy_settings_t *set,
+		    const lw_wirenames_t *names, uint64_t seed);
+void lw_evloop_on_tick(lw_evloop_t *evloop, lw_evloop_fn fn, void *ctx);
+void lw_evloop_on_flush(lw_evloop_t *evloop, lw_evloop_fn fn, void *ctx);
+void lw_evloop_free_later(lw_evloop_t *evloop, void *ptr);
+uint32_t lw_evloop_random(lw_evloop_t *evloop, uint32_t below);
 
 #endif
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -229,7 +229,7 @@
 		l->orphan_us += m->evloop->suspended_us;
 }
 
-static void on_wake(struct ev_loop *loop, ev_check *w, int revents)
+static void on_check(struct ev_loop *loop, ev_check *w, int revents)
 {
 	lw_mesh_t *m = w->data;
 
@@ -282,7 +282,7 @@
 			 lw_evloop_random(evloop, UINT32_MAX);
 	ev_timer_init(&m->watch_timer, on_watch, 0, WATCH_INTERVAL_S);
 	m->watch_timer.data = m;
-	ev_check_init(&wake, on_wake);
+	ev_check_init(&wake, on_check);
 	wake.data = m;
 	ev_check_start(evloop->loop, &wake);
 	lw_evloop_on_flush(evloop, lw_mesh_flush_all, m);
--- a/src/meshclosed.h
+++ b/src/meshclosed.h
@@ -25,9 +25,9 @@
 	uint64_t evicted_us; /* close time of the newest evicted entry; 0: none was evicted */
 } lw_meshclosed_t;
 
-void lw_meshclosed_add(lw_meshclosed_t *p, uint64_t name, uint32_t opened, uint64_t now_us);
-bool lw_meshclosed_has(const lw_meshclosed_t *p, uint64_t name);
-bool lw_meshclosed_never_received(const lw_meshclosed_t *p, uint64_t name, uint32_t id,
+void lw_meshclosed_add(lw_meshclosed_t *c, uint64_t name, uint32_t opened, uint64_t now_us);
+bool lw_meshclosed_has(const lw_meshclosed_t *c, uint64_t name);
+bool lw_meshclosed_never_received(const lw_meshclosed_t *c, uint64_t name, uint32_t id,
 				  uint64_t now_us);
 
 #endif
--- a/src/meshdocs.c
+++ b/src/meshdocs.c
@@ -97,10 +97,10 @@
 	lw_mesh_t *m = l->mesh;
 	lw_docfetch_request_t request = lw_meshframe_read_fetch(w);
 	size_t before = lw_bytebuf_len(&l->out);
-	lw_docfetch_piece_t piece;
+	lw_docfetch_chunk_t piece;
 
 	if (!known_kind(w->kind) ||
-	    !lw_docfetch_piece(m->ops->document(m->ctx, w->kind), &request, &piece))
+	    !lw_docfetch_chunk(m->ops->document(m->ctx, w->kind), &request, &piece))
 		return;
 	lw_meshframe_append_piece(&l->out, w->kind, &piece);
 	lw_link_frame_queued(l, before, LW__MESH_FRAME__BODY_PIECE);
@@ -123,7 +123,7 @@
 void lw_mesh_on_piece(lw_link_t *l, const Lw__Piece *w)
 {
 	lw_mesh_t *m = l->mesh;
-	lw_docfetch_piece_t piece = lw_meshframe_read_piece(w);
+	lw_docfetch_chunk_t piece = lw_meshframe_read_piece(w);
 	lw_docfetch_request_t request;
 	char *bytes;
 
--- a/src/meshframe.c
+++ b/src/meshframe.c
@@ -316,7 +316,7 @@
 
 /* lw_meshframe_append_piece() - encodes a chunk of a document. */
 void lw_meshframe_append_piece(lw_bytebuf_t *out, Lw__DocumentKind kind,
-			       const lw_docfetch_piece_t *piece)
+			       const lw_docfetch_chunk_t *piece)
 {
 	Lw__Piece w = LW__PIECE__INIT;
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
@@ -341,9 +341,9 @@
 }
 
 /* lw_meshframe_read_piece() - decodes a received chunk, which points into the frame. */
-lw_docfetch_piece_t lw_meshframe_read_piece(const Lw__Piece *in)
+lw_docfetch_chunk_t lw_meshframe_read_piece(const Lw__Piece *in)
 {
-	return (lw_docfetch_piece_t){
+	return (lw_docfetch_chunk_t){
 		.of = { .version = in->version,
 			.base = in->against,
 			.hash = in->hash,
--- a/src/meshframe.h
+++ b/src/meshframe.h
@@ -40,9 +40,9 @@
 void lw_meshframe_append_fetch(lw_bytebuf_t *out, Lw__DocumentKind kind,
 			       const lw_docfetch_request_t *request);
 void lw_meshframe_append_piece(lw_bytebuf_t *out, Lw__DocumentKind kind,
-			       const lw_docfetch_piece_t *piece);
+			       const lw_docfetch_chunk_t *piece);
 lw_docfetch_request_t lw_meshframe_read_fetch(const Lw__Fetch *in);
-lw_docfetch_piece_t lw_meshframe_read_piece(const Lw__Piece *in);
+lw_docfetch_chunk_t lw_meshframe_read_piece(const Lw__Piece *in);
 lw_serverlist_t *lw_meshframe_read_servers(const Lw__Servers *in);
 Lw__Notice *lw_meshframe_notice(Lw__Notice *out, const lw_notice_t *n);
 lw_notice_t lw_meshframe_read_notice(const Lw__Notice *in);
--- a/src/meshquery.c
+++ b/src/meshquery.c
@@ -152,7 +152,7 @@
  * applies the outcome of one request, received over @l; returns false if no request waits
  * for it
  */
-static bool apply_fate(lw_link_t *l, const Lw__Fates *w, const Lw__Fate *fate)
+static bool apply_outcome(lw_link_t *l, const Lw__Fates *w, const Lw__Fate *fate)
 {
 	lw_stream_t *s = lw_stream_by_origin(l->mesh->sent, w->link, fate->stream);
 	bool same;
@@ -207,7 +207,7 @@
 	if (l->open_queries)
 		l->open_queries--;
 	for (size_t i = 0; i < w->n_fates; i++)
-		waited_for += apply_fate(l, w, w->fates[i]);
+		waited_for += apply_outcome(l, w, w->fates[i]);
 	lw_log(LW_LOG_fate_heard,
 	       "node=%s link=%016llx over=%016llx waited_for=%u moved=%u never=%u maybe_ran=%u incarnation=%016llx before=%016llx",
 	       node, (unsigned long long)w->link, (unsigned long long)l->name, waited_for,
--- a/src/meshrecover.c
+++ b/src/meshrecover.c
@@ -177,8 +177,8 @@
  * determines the outcome of request @id of the queried connection; @old is that connection
  * if it is still known
  */
-static void determine_fate(lw_link_t *to, const Lw__FateQuery *q, const lw_link_t *old, uint32_t id,
-			   Lw__Fate *fate)
+static void determine_outcome(lw_link_t *to, const Lw__FateQuery *q, const lw_link_t *old,
+			      uint32_t id, Lw__Fate *fate)
 {
 	lw_mesh_t *m = to->mesh;
 	lw_stream_t *s = lw_stream_by_origin(m->incoming, q->link, id);
@@ -253,7 +253,7 @@
 	Lw__MeshFrame f = LW__MESH_FRAME__INIT;
 
 	for (size_t i = 0; i < q->n_streams; i++) {
-		determine_fate(l, q, old, q->streams[i], &fate[i]);
+		determine_outcome(l, q, old, q->streams[i], &fate[i]);
 		list[i] = &fate[i];
 	}
 	w.link = q->link;
--- a/src/quotacoord.c
+++ b/src/quotacoord.c
@@ -57,14 +57,14 @@
 /* lw_quotacoord_new() - a coordinator without any reports. */
 lw_quotacoord_t *lw_quotacoord_new(const lw_quota_tolerance_t *tolerance, uint64_t now_us)
 {
-	lw_quotacoord_t *k = xcalloc(1, sizeof(*k));
+	lw_quotacoord_t *c = xcalloc(1, sizeof(*c));
 
-	k->tolerance = *tolerance;
-	k->reserved_us = now_us;
-	return k;
+	c->tolerance = *tolerance;
+	c->reserved_us = now_us;
+	return c;
 }
 
-static void free_reporter(lw_quotacoord_t *k, lw_reporter_t *r)
+static void free_reporter(lw_quotacoord_t *c, lw_reporter_t *r)
 {
 	lw_nodeusage_t *u, *next;
 
@@ -73,46 +73,46 @@
 		HASH_DEL(r->uses, u);
 		free(u);
 	}
-	HASH_DEL(k->reporters, r);
+	HASH_DEL(c->reporters, r);
 	free(r);
 }
 
 /* lw_quotacoord_free() - release the coordinator; NULL is fine. */
-void lw_quotacoord_free(lw_quotacoord_t *k)
+void lw_quotacoord_free(lw_quotacoord_t *c)
 {
 	lw_bucket_t *b, *nextb;
 	lw_reporter_t *r, *nextr;
 
-	if (!k)
+	if (!c)
 		return;
-	HASH_ITER(hh, k->reporters, r, nextr)
-	free_reporter(k, r);
-	HASH_ITER(hh, k->buckets, b, nextb)
+	HASH_ITER(hh, c->reporters, r, nextr)
+	free_reporter(c, r);
+	HASH_ITER(hh, c->buckets, b, nextb)
 	{
-		HASH_DEL(k->buckets, b);
+		HASH_DEL(c->buckets, b);
 		free(b);
 	}
-	free(k->limited);
-	free(k);
+	free(c->limited);
+	free(c);
 }
 
 /* lw_quotacoord_set_tolerance() - apply changed settings. */
-void lw_quotacoord_set_tolerance(lw_quotacoord_t *k, const lw_quota_tolerance_t *tolerance)
+void lw_quotacoord_set_tolerance(lw_quotacoord_t *c, const lw_quota_tolerance_t *tolerance)
 {
-	k->tolerance = *tolerance;
+	c->tolerance = *tolerance;
 }
 
 /* lw_quotacoord_set_nodes() - set the number of nodes in the fleet. */
-void lw_quotacoord_set_nodes(lw_quotacoord_t *k, uint32_t nodes)
+void lw_quotacoord_set_nodes(lw_quotacoord_t *c, uint32_t nodes)
 {
-	k->nodes = nodes;
+	c->nodes = nodes;
 }
 
-static lw_bucket_t *bucket_find(const lw_quotacoord_t *k, uint64_t org)
+static lw_bucket_t *bucket_find(const lw_quotacoord_t *c, uint64_t org)
 {
 	lw_bucket_t *b;
 
-	HASH_FIND(hh, k->buckets, &org, sizeof(org), b);
+	HASH_FIND(hh, c->buckets, &org, sizeof(org), b);
 	return b;
 }
 
@@ -120,22 +120,22 @@
  * the share of a limit that is available to reporting nodes: without an equal part for each
  * unknown node and what is reserved for silent ones
  */
-static double available_share(const lw_quotacoord_t *k, const lw_bucket_t *b)
+static double available_share(const lw_quotacoord_t *c, const lw_bucket_t *b)
 {
-	double heard = k->nodes ? 1.0 - (double)k->nunknown / k->nodes : 1.0;
+	double heard = c->nodes ? 1.0 - (double)c->nunknown / c->nodes : 1.0;
 
 	return heard > b->reserved ? heard - b->reserved : 0;
 }
 
-static lw_bucket_t *bucket_new(lw_quotacoord_t *k, uint64_t org, uint64_t now_us)
+static lw_bucket_t *bucket_new(lw_quotacoord_t *c, uint64_t org, uint64_t now_us)
 {
 	lw_bucket_t *b = xcalloc(1, sizeof(*b));
 
 	b->org = org;
 	b->tokens_us = now_us;
 	b->demand_us = now_us;
-	b->available = available_share(k, b);
-	HASH_ADD(hh, k->buckets, org, sizeof(b->org), b);
+	b->available = available_share(c, b);
+	HASH_ADD(hh, c->buckets, org, sizeof(b->org), b);
 	return b;
 }
 
@@ -143,49 +143,49 @@
  * lw_quotacoord_set_limits() - apply the limits of a new configuration. A new bucket is
  * empty, as it is unknown what was admitted before this node became a coordinator.
  */
-void lw_quotacoord_set_limits(lw_quotacoord_t *k, const lw_orgs_t *orgs, uint64_t now_us)
+void lw_quotacoord_set_limits(lw_quotacoord_t *c, const lw_orgs_t *orgs, uint64_t now_us)
 {
 	lw_bucket_t *b, *next;
 
-	for (b = k->buckets; b; b = b->hh.next)
+	for (b = c->buckets; b; b = b->hh.next)
 		b->configured = false;
 	for (size_t i = 0; i < lw_orgs_count(orgs); i++) {
 		const lw_organisation_t *org = lw_orgs_at(orgs, i);
 
 		if (org->rate_per_s <= 0)
 			continue;
-		b = bucket_find(k, org->id);
+		b = bucket_find(c, org->id);
 		if (!b)
-			b = bucket_new(k, org->id, now_us);
-		lw_bucket_advance(b, &k->tolerance, now_us);
+			b = bucket_new(c, org->id, now_us);
+		lw_bucket_advance(b, &c->tolerance, now_us);
 		b->configured = true;
 		b->rate_per_s = org->rate_per_s;
 		b->burst = org->burst;
 	}
-	HASH_ITER(hh, k->buckets, b, next)
+	HASH_ITER(hh, c->buckets, b, next)
 	{
 		if (b->configured)
 			continue;
-		HASH_DEL(k->buckets, b);
+		HASH_DEL(c->buckets, b);
 		free(b);
 	}
-	free(k->limited);
-	k->limited = xcalloc(HASH_COUNT(k->buckets) + 1, sizeof(void *));
-	k->nlimited = 0;
-	k->computed_us = 0;
-	k->next_round_robin = k->buckets;
+	free(c->limited);
+	c->limited = xcalloc(HASH_COUNT(c->buckets) + 1, sizeof(void *));
+	c->nlimited = 0;
+	c->computed_us = 0;
+	c->next_round_robin = c->buckets;
 }
 
-static lw_reporter_t *reporter_of(lw_quotacoord_t *k, uint64_t node)
+static lw_reporter_t *reporter_of(lw_quotacoord_t *c, uint64_t node)
 {
 	lw_reporter_t *r;
 
-	HASH_FIND(hh, k->reporters, &node, sizeof(node), r);
+	HASH_FIND(hh, c->reporters, &node, sizeof(node), r);
 	if (r)
 		return r;
 	r = xcalloc(1, sizeof(*r));
 	r->node = node;
-	HASH_ADD(hh, k->reporters, node, sizeof(r->node), r);
+	HASH_ADD(hh, c->reporters, node, sizeof(r->node), r);
 	return r;
 }
 
@@ -223,26 +223,26 @@
  * Fixes the shares of the limits that a standalone node applies: its shares of the demand
  * at its last report. The node does not know the demand since then.
  */
-static void fix_shares(lw_quotacoord_t *k, lw_reporter_t *r)
+static void fix_shares(lw_quotacoord_t *c, lw_reporter_t *r)
 {
 	for (lw_nodeusage_t *u = r->uses; u; u = u->hh.next) {
-		const lw_bucket_t *b = bucket_find(k, u->org);
+		const lw_bucket_t *b = bucket_find(c, u->org);
 		double age_s = (double)(r->reported_us - u->at_us) / 1e6;
 		double demand = u->demand * exp(-age_s / LW_QUOTA_DEMAND_MEMORY_S);
 
 		if (b)
 			u->share = lw_quota_share(
-				demand, b->share_history[k->step % LW_BUCKET_HISTORY], k->nodes);
+				demand, b->share_history[c->step % LW_BUCKET_HISTORY], c->nodes);
 	}
 	r->silent = true;
 }
 
-static void reserve_for_node(lw_quotacoord_t *k, lw_reporter_t *r)
+static void reserve_for_node(lw_quotacoord_t *c, lw_reporter_t *r)
 {
 	if (!r->silent)
-		fix_shares(k, r);
+		fix_shares(c, r);
 	for (const lw_nodeusage_t *u = r->uses; u; u = u->hh.next) {
-		lw_bucket_t *b = bucket_find(k, u->org);
+		lw_bucket_t *b = bucket_find(c, u->org);
 
 		if (b)
 			b->reserved += u->share;
@@ -250,54 +250,54 @@
 }
 
 /* add up the shares that are reserved for silent nodes */
-static void reserve(lw_quotacoord_t *k, uint64_t now_us)
+static void reserve(lw_quotacoord_t *c, uint64_t now_us)
 {
 	lw_reporter_t *r, *next;
 	uint32_t known = 0;
 
-	if (now_us - k->reserved_us < RESERVE_STEP_US)
+	if (now_us - c->reserved_us < RESERVE_STEP_US)
 		return;
-	k->reserved_us = now_us;
-	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
-		lw_bucket_advance(b, &k->tolerance, now_us);
+	c->reserved_us = now_us;
+	for (lw_bucket_t *b = c->buckets; b; b = b->hh.next) {
+		lw_bucket_advance(b, &c->tolerance, now_us);
 		b->reserved = 0;
 	}
-	k->step++;
-	HASH_ITER(hh, k->reporters, r, next)
+	c->step++;
+	HASH_ITER(hh, c->reporters, r, next)
 	{
 		uint64_t silent_us = now_us - r->reported_us;
 
 		if (silent_us > FORGET_US) {
-			free_reporter(k, r);
+			free_reporter(c, r);
 			continue;
 		}
 		known++;
 		if (silent_us > SILENT_US)
-			reserve_for_node(k, r);
+			reserve_for_node(c, r);
 	}
-	k->nunknown = k->nodes > known ? k->nodes - known : 0;
-	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
-		b->available = available_share(k, b);
-		b->share_history[k->step % LW_BUCKET_HISTORY] = b->shared;
+	c->nunknown = c->nodes > known ? c->nodes - known : 0;
+	for (lw_bucket_t *b = c->buckets; b; b = b->hh.next) {
+		b->available = available_share(c, b);
+		b->share_history[c->step % LW_BUCKET_HISTORY] = b->shared;
 	}
 }
 
 /* lw_quotacoord_add_report() - account for a report of the node with the digest @node. */
-void lw_quotacoord_add_report(lw_quotacoord_t *k, uint64_t node, const lw_quota_usage_t *uses,
+void lw_quotacoord_add_report(lw_quotacoord_t *c, uint64_t node, const lw_quota_usage_t *uses,
 			      size_t n, uint64_t now_us)
 {
-	lw_reporter_t *r = reporter_of(k, node);
+	lw_reporter_t *r = reporter_of(c, node);
 	double covered_s = r->reported_us ? (double)(now_us - r->reported_us) / 1e6 : 0;
 
 	r->reported_us = now_us;
 	r->silent = false;
-	reserve(k, now_us);
+	reserve(c, now_us);
 	for (size_t i = 0; i < n; i++) {
-		lw_bucket_t *b = bucket_find(k, uses[i].org);
+		lw_bucket_t *b = bucket_find(c, uses[i].org);
 
 		if (!b)
 			continue;
-		lw_bucket_advance(b, &k->tolerance, now_us);
+		lw_bucket_advance(b, &c->tolerance, now_us);
 		b->tokens -= charge_of(uses[i].admitted, covered_s);
 		lw_bucket_add_demand(b, uses[i].asked, covered_s);
 		count_node_usage(r, &uses[i], covered_s, now_us);
@@ -305,17 +305,17 @@
 }
 
 /* finds the organisations that are limited now; usually very few of thousands */
-static void compute_limited(lw_quotacoord_t *k, uint64_t now_us)
+static void compute_limited(lw_quotacoord_t *c, uint64_t now_us)
 {
-	if (now_us - k->computed_us < COMPUTE_US)
+	if (now_us - c->computed_us < COMPUTE_US)
 		return;
-	k->computed_us = now_us;
-	k->nlimited = 0;
-	for (lw_bucket_t *b = k->buckets; b; b = b->hh.next) {
-		lw_bucket_advance(b, &k->tolerance, now_us);
-		b->permille = lw_bucket_permille(b, &k->tolerance);
+	c->computed_us = now_us;
+	c->nlimited = 0;
+	for (lw_bucket_t *b = c->buckets; b; b = b->hh.next) {
+		lw_bucket_advance(b, &c->tolerance, now_us);
+		b->permille = lw_bucket_permille(b, &c->tolerance);
 		if (b->permille < 1000)
-			k->limited[k->nlimited++] = b;
+			c->limited[c->nlimited++] = b;
 	}
 }
 
@@ -328,15 +328,15 @@
 }
 
 /* include the demand of the next few organisations */
-static void add_round_robin_grants(lw_quotacoord_t *k, lw_quota_grant_t *out, size_t *n,
+static void add_round_robin_grants(lw_quotacoord_t *c, lw_quota_grant_t *out, size_t *n,
 				   size_t most)
 {
-	for (int i = 0; i < ROUND_ROBIN_ORGS && k->next_round_robin; i++) {
-		add_grant(k->next_round_robin, true, out, n, most);
-		k->next_round_robin = k->next_round_robin->hh.next;
+	for (int i = 0; i < ROUND_ROBIN_ORGS && c->next_round_robin; i++) {
+		add_grant(c->next_round_robin, true, out, n, most);
+		c->next_round_robin = c->next_round_robin->hh.next;
 	}
-	if (!k->next_round_robin)
-		k->next_round_robin = k->buckets;
+	if (!c->next_round_robin)
+		c->next_round_robin = c->buckets;
 }
 
 /*
@@ -346,22 +346,22 @@
  * requests of an organisation would otherwise compute its share from outdated demand. An
  * organisation may be included twice, with the same fraction.
  */
-size_t lw_quotacoord_grants(lw_quotacoord_t *k, const lw_quota_usage_t *uses, size_t n,
+size_t lw_quotacoord_grants(lw_quotacoord_t *c, const lw_quota_usage_t *uses, size_t n,
 			    lw_quota_grant_t *out, size_t most, uint64_t now_us)
 {
 	size_t ngrants = 0;
 
-	if (!k->buckets)
+	if (!c->buckets)
 		return 0;
-	compute_limited(k, now_us);
-	for (size_t i = 0; i < k->nlimited; i++)
-		add_grant(k->limited[i], false, out, &ngrants, most);
+	compute_limited(c, now_us);
+	for (size_t i = 0; i < c->nlimited; i++)
+		add_grant(c->limited[i], false, out, &ngrants, most);
 	for (size_t i = 0; i < n; i++) {
-		lw_bucket_t *b = bucket_find(k, uses[i].org);
+		lw_bucket_t *b = bucket_find(c, uses[i].org);
 
 		if (b)
 			add_grant(b, true, out, &ngrants, most);
 	}
-	add_round_robin_grants(k, out, &ngrants, most);
+	add_round_robin_grants(c, out, &ngrants, most);
 	return ngrants;
 }
--- a/src/quotacoord.h
+++ b/src/quotacoord.h
@@ -21,13 +21,13 @@
 typedef struct lw_quotacoord lw_quotacoord_t;
 
 lw_quotacoord_t *lw_quotacoord_new(const lw_quota_tolerance_t *tolerance, uint64_t now_us);
-void lw_quotacoord_free(lw_quotacoord_t *k);
-void lw_quotacoord_set_tolerance(lw_quotacoord_t *k, const lw_quota_tolerance_t *tolerance);
-void lw_quotacoord_set_nodes(lw_quotacoord_t *k, uint32_t nodes);
-void lw_quotacoord_set_limits(lw_quotacoord_t *k, const lw_orgs_t *orgs, uint64_t now_us);
-void lw_quotacoord_add_report(lw_quotacoord_t *k, uint64_t node, const lw_quota_usage_t *uses,
+void lw_quotacoord_free(lw_quotacoord_t *c);
+void lw_quotacoord_set_tolerance(lw_quotacoord_t *c, const lw_quota_tolerance_t *tolerance);
+void lw_quotacoord_set_nodes(lw_quotacoord_t *c, uint32_t nodes);
+void lw_quotacoord_set_limits(lw_quotacoord_t *c, const lw_orgs_t *orgs, uint64_t now_us);
+void lw_quotacoord_add_report(lw_quotacoord_t *c, uint64_t node, const lw_quota_usage_t *uses,
 			      size_t n, uint64_t now_us);
-size_t lw_quotacoord_grants(lw_quotacoord_t *k, const lw_quota_usage_t *uses, size_t n,
+size_t lw_quotacoord_grants(lw_quotacoord_t *c, const lw_quota_usage_t *uses, size_t n,
 			    lw_quota_grant_t *out, size_t most, uint64_t now_us);
 
 #endif
--- a/src/storereader.h
+++ b/src/storereader.h
@@ -66,24 +66,24 @@
 	lw_status_t (*parse_config)(const char *text, size_t len, lw_fleetconf_t **out);
 } lw_platform_t;
 
-void lw_storereader_init(lw_storereader_t *f, const lw_proxy_settings_t *set);
+void lw_storereader_init(lw_storereader_t *r, const lw_proxy_settings_t *set);
 const char *lw_storereader_reason_name(lw_storereader_reason_t reason);
-bool lw_storereader_is_idle(const lw_storereader_t *f);
-void lw_storereader_start(lw_storereader_t *f, lw_storereader_reason_t reason);
-void lw_storereader_stop(lw_storereader_t *f);
-void lw_storereader_set_deferring(lw_storereader_t *f, bool deferring);
-bool lw_storereader_is_deferring(const lw_storereader_t *f);
-bool lw_storereader_wait_started(lw_storereader_t *f);
-void lw_storereader_read_now(lw_storereader_t *f);
-void lw_storereader_pause(lw_storereader_t *f, uint32_t ms);
-void lw_storereader_call_started(lw_storereader_t *f, uint32_t wait_ms);
-void lw_storereader_call_failed(lw_storereader_t *f);
-void lw_storereader_call_succeeded(lw_storereader_t *f);
-void lw_storereader_note_remote_read(lw_storereader_t *f, uint64_t at_us);
-bool lw_storereader_remote_read_recently(const lw_storereader_t *f);
-uint64_t lw_storereader_last_read_us(const lw_storereader_t *f);
-uint64_t lw_storereader_last_known_read_us(const lw_storereader_t *f);
-uint64_t lw_storereader_last_failure_us(const lw_storereader_t *f);
-bool lw_storereader_call_overdue(const lw_storereader_t *f, uint64_t us);
+bool lw_storereader_is_idle(const lw_storereader_t *r);
+void lw_storereader_start(lw_storereader_t *r, lw_storereader_reason_t reason);
+void lw_storereader_stop(lw_storereader_t *r);
+void lw_storereader_set_deferring(lw_storereader_t *r, bool deferring);
+bool lw_storereader_is_deferring(const lw_storereader_t *r);
+bool lw_storereader_wait_started(lw_storereader_t *r);
+void lw_storereader_read_now(lw_storereader_t *r);
+void lw_storereader_pause(lw_storereader_t *r, uint32_t ms);
+void lw_storereader_call_started(lw_storereader_t *r, uint32_t wait_ms);
+void lw_storereader_call_failed(lw_storereader_t *r);
+void lw_storereader_call_succeeded(lw_storereader_t *r);
+void lw_storereader_note_remote_read(lw_storereader_t *r, uint64_t at_us);
+bool lw_storereader_remote_read_recently(const lw_storereader_t *r);
+uint64_t lw_storereader_last_read_us(const lw_storereader_t *r);
+uint64_t lw_storereader_last_known_read_us(const lw_storereader_t *r);
+uint64_t lw_storereader_last_failure_us(const lw_storereader_t *r);
+bool lw_storereader_call_overdue(const lw_storereader_t *r, uint64_t us);
 
 #endif
--- a/tests/test_docfetch.c
+++ b/tests/test_docfetch.c
@@ -91,7 +91,7 @@
 	lw_docfetch_t f = { 0 };
 	lw_revdoc_t d = { 0 };
 	lw_docfetch_request_t ask;
-	lw_docfetch_piece_t p = { .of = { .version = 3, .len = 9, .length = 20 },
+	lw_docfetch_chunk_t p = { .of = { .version = 3, .len = 9, .length = 20 },
 				  .bytes = LW_STR("abc") };
 	char *got;
 	int source = 0, other = 0;
@@ -140,7 +140,7 @@
 	/* sum of both nodes' eras: a frame sent before one of them restarted is never delivered */
 	uint32_t era;
 	lw_docfetch_request_t ask;
-	lw_docfetch_piece_t piece;
+	lw_docfetch_chunk_t piece;
 	char *bytes;
 } frame_t;
 
@@ -234,7 +234,7 @@
 	if (f->era == run.era[f->from] + run.era[f->to]) {
 		if (f->is_piece)
 			receive_chunk(&now);
-		else if (lw_docfetch_piece(&run.doc[f->to], &f->ask, &reply.piece))
+		else if (lw_docfetch_chunk(&run.doc[f->to], &f->ask, &reply.piece))
 			send_frame(&reply);
 	}
 	if (!again)
