--- a/src/exchquarantine.c
+++ b/src/exchquarantine.c
@@ -34,8 +34,8 @@
 	lw_place_host_t *host = NULL;
 
 	if (!x->tried.n && !x->attempts.given)
-		host = lw_place_pick_trial(x->service, s->print.whole, s->end, s->ncrashes,
-					   x->engine->evloop->now_us);
+		host = lw_place_pick_trial(x->service, s->print.whole, s->crashed_process,
+					   s->ncrashes, x->engine->evloop->now_us);
 	if (host)
 		lw_exchange_attempt_at(x, host, last);
 	else if (!lw_exchange_wait_for_host(x, last))
--- a/src/fleetconf.c
+++ b/src/fleetconf.c
@@ -175,10 +175,10 @@
 }
 
 /* Combines the indexes of an organisation's and a route's priority into one number. */
-static uint32_t combined_priority(const lw_fleetconf_t *fc, size_t org_place, size_t route_place)
+static uint32_t combined_priority(const lw_fleetconf_t *fc, size_t org_index, size_t route_index)
 {
 	size_t all = fc->norg_priorities * fc->nroute_priorities;
-	size_t at = org_place * fc->nroute_priorities + route_place;
+	size_t at = org_index * fc->nroute_priorities + route_index;
 
 	return (uint32_t)(all > LW_PRIORITIES_MAX ? at * LW_PRIORITIES_MAX / all : at);
 }
--- a/src/meshsuspects.c
+++ b/src/meshsuspects.c
@@ -40,7 +40,7 @@
 	out->head = s->print.head;
 	out->whole = s->print.whole;
 	out->n_ends = s->ncrashes;
-	out->ends = (uint64_t *)(uintptr_t)s->end;
+	out->ends = (uint64_t *)(uintptr_t)s->crashed_process;
 	out->trials = s->trials;
 	out->ended_age_ms = age_ms(s->last_crash_us, now_us);
 	out->cleared_age_ms = age_ms(s->cleared_us, now_us);
@@ -60,7 +60,7 @@
 	};
 
 	while (s.ncrashes < in->n_ends && s.ncrashes < LW_SUSPECT_CRASHES_MAX) {
-		s.end[s.ncrashes] = in->ends[s.ncrashes];
+		s.crashed_process[s.ncrashes] = in->ends[s.ncrashes];
 		s.ncrashes++;
 	}
 	return s;
@@ -153,7 +153,7 @@
 
 static void apply_crash(lw_mesh_t *m, const Lw__ServerEnded *w)
 {
-	lw_suspect_t s = { .end = { w->process },
+	lw_suspect_t s = { .crashed_process = { w->process },
 			   .ncrashes = 1,
 			   .last_crash_us = m->evloop->now_us };
 
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -167,10 +167,10 @@
 static void add_crash(lw_suspect_t *s, uint64_t process)
 {
 	for (uint32_t i = 0; i < s->ncrashes; i++)
-		if (s->end[i] == process)
+		if (s->crashed_process[i] == process)
 			return;
 	if (s->ncrashes < LW_SUSPECT_CRASHES_MAX)
-		s->end[s->ncrashes++] = process;
+		s->crashed_process[s->ncrashes++] = process;
 }
 
 /*
@@ -208,13 +208,13 @@
 					   uint64_t now_us)
 {
 	entry_t *e = q->entries ? find(q, print) : NULL;
-	bool mattered;
+	bool was_restricted;
 
 	if (!e || !e->s.ncrashes)
 		return NULL;
-	mattered = lw_suspect_is_restricted(&e->s);
+	was_restricted = lw_suspect_is_restricted(&e->s);
 	clear(&e->s, now_us);
-	return mattered ? &e->s : NULL;
+	return was_restricted ? &e->s : NULL;
 }
 
 static void merge(lw_suspect_t *s, const lw_suspect_t *report)
@@ -227,7 +227,7 @@
 	if (report->last_crash_us <= s->cleared_us)
 		return;
 	for (uint32_t i = 0; i < report->ncrashes; i++)
-		add_crash(s, report->end[i]);
+		add_crash(s, report->crashed_process[i]);
 	if (report->trials > s->trials)
 		s->trials = report->trials;
 	if (report->last_crash_us > s->last_crash_us)
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -34,7 +34,8 @@
 /* What is known about one request. Times are of one clock, 0: never. */
 typedef struct lw_suspect {
 	lw_fingerprint_t print;
-	uint64_t end[LW_SUSPECT_CRASHES_MAX]; /* processes that crashed with it in flight */
+	uint64_t crashed_process
+		[LW_SUSPECT_CRASHES_MAX]; /* processes that crashed with it in flight */
 	uint32_t ncrashes;
 	uint32_t trials; /* trials that crashed their servers */
 	uint64_t last_crash_us; /* time of the newest crash */
--- a/src/quotabucket.c
+++ b/src/quotabucket.c
@@ -35,10 +35,10 @@
 /* lw_bucket_advance() - refill the bucket and decay the averages of demand until @now_us. */
 void lw_bucket_advance(lw_bucket_t *b, const lw_quota_tolerance_t *t, uint64_t now_us)
 {
-	double level_s = (double)(now_us - b->tokens_us) / 1e6;
+	double refill_s = (double)(now_us - b->tokens_us) / 1e6;
 	double dt = (double)(now_us - b->demand_us) / 1e6;
 
-	b->tokens += refill_rate(b, t) * level_s;
+	b->tokens += refill_rate(b, t) * refill_s;
 	if (b->tokens > max_tokens(b, t))
 		b->tokens = max_tokens(b, t);
 	b->tokens_us = now_us;
--- a/src/quotacoord.c
+++ b/src/quotacoord.c
@@ -122,9 +122,9 @@
  */
 static double available_share(const lw_quotacoord_t *c, const lw_bucket_t *b)
 {
-	double heard = c->nodes ? 1.0 - (double)c->nunknown / c->nodes : 1.0;
+	double known_fraction = c->nodes ? 1.0 - (double)c->nunknown / c->nodes : 1.0;
 
-	return heard > b->reserved ? heard - b->reserved : 0;
+	return known_fraction > b->reserved ? known_fraction - b->reserved : 0;
 }
 
 static lw_bucket_t *bucket_new(lw_quotacoord_t *c, uint64_t org, uint64_t now_us)
--- a/tests/decide_quarantine.c
+++ b/tests/decide_quarantine.c
@@ -52,7 +52,7 @@
 		s.cleared_us = ms(a, 3);
 	} else {
 		s.last_crash_us = ms(a, 3);
-		s.end[s.ncrashes++] = (uint64_t)num(a, 5);
+		s.crashed_process[s.ncrashes++] = (uint64_t)num(a, 5);
 		s.trials = (uint32_t)num(a, 7);
 		s.held_until_us = ms(a, 9);
 	}
