--- a/src/exchange.c
+++ b/src/exchange.c
@@ -136,7 +136,7 @@
 }
 
 /* lw_exchange_answer_verdict() - answer the caller according to @v; @why is logged. */
-void lw_exchange_answer_verdict(lw_exchange_t *x, lw_verdict_t v, lw_fail_t why)
+void lw_exchange_answer_verdict(lw_exchange_t *x, lw_retry_verdict_kind_t v, lw_fail_t why)
 {
 	switch (v) {
 	case LW_VERDICT_REFUSE:
--- a/src/exchange_int.h
+++ b/src/exchange_int.h
@@ -75,7 +75,7 @@
 void lw_exchange_attempt_done(lw_exchange_t *x, bool ok);
 void lw_exchange_abandon_call(lw_exchange_t *x);
 void lw_exchange_mark_parent_failed(const lw_exchange_t *x);
-void lw_exchange_answer_verdict(lw_exchange_t *x, lw_verdict_t v, lw_fail_t why);
+void lw_exchange_answer_verdict(lw_exchange_t *x, lw_retry_verdict_kind_t v, lw_fail_t why);
 void lw_exchange_after_failure(lw_exchange_t *x, lw_fail_t why);
 void lw_exchange_send_body(lw_exchange_t *x);
 void lw_exchange_on_stall_timer(struct ev_loop *loop, ev_timer *w, int revents);
--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -87,7 +87,7 @@
  */
 void lw_exchange_retry_or_answer(lw_exchange_t *x, lw_fail_t why)
 {
-	lw_verdict_t v;
+	lw_retry_verdict_kind_t v;
 
 	x->attempts.left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	x->attempts.body_kept = x->body_base == 0;
@@ -221,7 +221,7 @@
 }
 
 /* verdict on a server's answer with the failure @status */
-static lw_verdict_t verdict_for_answer(const lw_exchange_t *x, uint32_t status)
+static lw_retry_verdict_kind_t verdict_for_answer(const lw_exchange_t *x, uint32_t status)
 {
 	lw_attempts_t a = x->attempts;
 
@@ -237,7 +237,7 @@
  */
 static bool retry_after_answer(lw_exchange_t *x, uint32_t status, bool fin)
 {
-	lw_verdict_t v = verdict_for_answer(x, status);
+	lw_retry_verdict_kind_t v = verdict_for_answer(x, status);
 	lw_place_query_t req = lw_exchange_place_query(x);
 
 	if (v == LW_VERDICT_FAIL)
@@ -319,7 +319,7 @@
 /*
  * abandons the call in progress for another attempt: @v says where, @room is a host that has room
  */
-static void try_elsewhere(lw_exchange_t *x, lw_verdict_t v, lw_place_host_t *room,
+static void try_elsewhere(lw_exchange_t *x, lw_retry_verdict_kind_t v, lw_place_host_t *room,
 			  const lw_place_query_t *req)
 {
 	if (!take_retry(x))
@@ -345,7 +345,7 @@
 	lw_place_query_t req = lw_exchange_place_query(x);
 	const lw_place_host_t *again = lw_place_pick_resend(x->service, &x->tried, &req);
 	lw_place_host_t *room = NULL;
-	lw_verdict_t v;
+	lw_retry_verdict_kind_t v;
 
 	if (x->tried.n < LW_PLACE_TRIED_MAX)
 		room = lw_place_pick_room(x->service, &x->tried, &req, confirmed);
--- a/src/overload_int.h
+++ b/src/overload_int.h
@@ -21,7 +21,7 @@
 		const struct lw_overload_route *route;
 		double work_us;
 		uint64_t seen_us;
-	} most[LW_PRIORITIES_MAX];
+	} heaviest[LW_PRIORITIES_MAX];
 	bool at_min; /* the last report said LW_LEVEL_MIN or less */
 	UT_hash_handle hh;
 } lw_overload_service_t;
--- a/src/overloadcost.c
+++ b/src/overloadcost.c
@@ -28,13 +28,13 @@
 			    const lw_overload_route_t *r, double work_us, uint64_t now_us)
 {
 	uint32_t p = known_priority(priority);
-	bool forgotten = now_us - s->most[p].seen_us >= ROUTE_EXPIRES_US;
+	bool forgotten = now_us - s->heaviest[p].seen_us >= ROUTE_EXPIRES_US;
 
-	if (s->most[p].route != r && !forgotten && work_us <= s->most[p].work_us)
+	if (s->heaviest[p].route != r && !forgotten && work_us <= s->heaviest[p].work_us)
 		return;
-	s->most[p].route = r;
-	s->most[p].work_us = work_us;
-	s->most[p].seen_us = now_us;
+	s->heaviest[p].route = r;
+	s->heaviest[p].work_us = work_us;
+	s->heaviest[p].seen_us = now_us;
 }
 
 static void add_work(lw_overload_route_t *r, lw_overload_service_t *s, uint32_t priority,
@@ -89,7 +89,7 @@
 	HASH_FIND_STR(p->routes, route, r);
 	for (int i = 0; r && i < LW_PATH_LEVELS_MAX; i++) {
 		const lw_overload_service_t *s = r->downstream[i].service;
-		double most = s ? s->most[known_priority(priority)].work_us : 0;
+		double most = s ? s->heaviest[known_priority(priority)].work_us : 0;
 
 		if (most <= 0 || !r->downstream[i].work_us ||
 		    now_us - r->downstream[i].seen_us >= ROUTE_EXPIRES_US)
--- a/src/retrylimit.c
+++ b/src/retrylimit.c
@@ -5,32 +5,32 @@
 
 /*
  * Parts of the fleet's allowance that a node decides on. A retry counts again
- * at every service that its calls lead to, so the parts of all levels of a
- * call chain together stay below the whole. The last level, where most faults
- * occur, has the larger part. The levels above share the rest, but only while
- * the calls below use little of the allowance; every answer reports what they
- * use. So a fault of the last level alone may use nearly all of the
- * allowance: in the model of a leaf that sheds half of its calls
+ * at every service that its calls lead to, so the parts of all depths of a
+ * call chain together stay below the whole. The leaf, the last service of the
+ * chain, where most faults occur, has the larger part. The depths above share
+ * the rest, but only while the calls below use little of the allowance; every
+ * answer reports what they use. So a fault of the leaf alone may use nearly
+ * all of the allowance: in the model of a leaf that sheds half of its calls
  * (shedding_leaf.toml) 90.2% of the urgent requests meet their latency
  * objective, with a part of 0.60 only 85.7% (mean of four seeds).
  */
-#define LAST_LEVEL_PART	  0.80
-#define UPPER_LEVELS_PART 0.30
-#define SINGLE_LEVEL_PART 0.38
+#define LEAF_PART	  0.80
+#define UPPER_DEPTHS_PART 0.30
+#define SINGLE_DEPTH_PART 0.38
 /*
- * Per mille of the allowance. While the calls below use more, the levels
- * above send no retries: 0.55 and UPPER_LEVELS_PART together stay below
+ * Per mille of the allowance. While the calls below use more, the depths
+ * above send no retries: 0.55 and UPPER_DEPTHS_PART together stay below
  * ALL_RETRIES_PART.
  */
 #define USED_BELOW_MAX 550
 /*
- * The part of the last level that requests of other than the most urgent
+ * The part of the leaf that requests of other than the most urgent
  * priority may use; the lowest ranks go first in any case. While two of three
  * servers lost four of ten answers, 837 of 27,945 requests failed with 0.30
  * and 612 with 0.75; 0.60 leaves more for the most urgent requests in the
  * second before ranks decide.
  */
-#define LAST_LEVEL_OTHERS_PART 0.60
+#define LEAF_OTHERS_PART 0.60
 /*
  * Below this part of its share a node retries any request. Above it, it
  * retries only the lowest ranks, as many as the share permits: a request with
@@ -157,15 +157,15 @@
 
 static double own_part(const lw_retryposition_t *at)
 {
-	uint32_t levels = at->above + 1 + at->below;
+	uint32_t depths = at->above + 1 + at->below;
 
-	if (levels == 1)
-		return SINGLE_LEVEL_PART;
+	if (depths == 1)
+		return SINGLE_DEPTH_PART;
 	if (at->below && at->used_below > USED_BELOW_MAX)
 		return 0;
 	if (at->below)
-		return UPPER_LEVELS_PART / (levels - 1);
-	return at->urgent ? LAST_LEVEL_PART : LAST_LEVEL_OTHERS_PART;
+		return UPPER_DEPTHS_PART / (depths - 1);
+	return at->urgent ? LEAF_PART : LEAF_OTHERS_PART;
 }
 
 /* the part of the retries asked for recently that were for lower ranks */
--- a/src/retrylimit.h
+++ b/src/retrylimit.h
@@ -21,8 +21,8 @@
 /* Position of a retry in the call graph. */
 typedef struct lw_retryposition {
 	uint32_t nodes; /* number of nodes that share the additional retries */
-	uint32_t above; /* levels of requests above this one */
-	uint32_t below; /* levels of calls below it */
+	uint32_t above; /* depths of the call chain above this request */
+	uint32_t below; /* depths of the call chain below it */
 	uint32_t rank; /* rank of the user request, see level.h; the lowest is the most urgent */
 	bool urgent; /* the user request has the most urgent priority */
 	uint32_t used_below; /* per mille of the allowance that the calls below use, as reported */
--- a/src/retryrule.c
+++ b/src/retryrule.c
@@ -5,7 +5,7 @@
 #define LEFT_MIN_MS 30
 
 /* lw_retry_final_verdict() - the answer if there is no further attempt. */
-lw_verdict_t lw_retry_final_verdict(const lw_attempts_t *a, lw_fail_t why)
+lw_retry_verdict_kind_t lw_retry_final_verdict(const lw_attempts_t *a, lw_fail_t why)
 {
 	if (why == LW_FAIL_TIMEOUT)
 		return LW_VERDICT_TIMEOUT;
@@ -32,7 +32,7 @@
  * route is used up, that attempt was a resend and has been counted, so the
  * next one is within the allowance.
  */
-static lw_verdict_t after_undelivered(const lw_attempts_t *a, lw_fail_t why)
+static lw_retry_verdict_kind_t after_undelivered(const lw_attempts_t *a, lw_fail_t why)
 {
 	lw_fail_t before = a->maybe_ran ? LW_FAIL_BROKEN : LW_FAIL_SHED;
 
@@ -56,7 +56,7 @@
  * request with five calls succeeds with a chance of 17% if two servers are
  * tried once each, and of 62% if they are tried twice.
  */
-lw_verdict_t lw_retry_verdict(const lw_attempts_t *a, lw_fail_t why)
+lw_retry_verdict_kind_t lw_retry_verdict(const lw_attempts_t *a, lw_fail_t why)
 {
 	bool may_repeat = lw_fail_not_executed(why) || a->idempotent;
 
@@ -74,7 +74,7 @@
  * lw_retry_verdict_status() - what follows an error @status of a backend
  * server: a retry may replace it. With 504 the time is over.
  */
-lw_verdict_t lw_retry_verdict_status(const lw_attempts_t *a, uint32_t status)
+lw_retry_verdict_kind_t lw_retry_verdict_status(const lw_attempts_t *a, uint32_t status)
 {
 	bool failed = status == 500 || status == 502 || status == 503;
 
@@ -89,7 +89,7 @@
  * lw_retry_verdict_silent() - what follows when an attempt stays silent.
  * LW_VERDICT_FAIL: the caller can only wait for that attempt.
  */
-lw_verdict_t lw_retry_verdict_silent(const lw_attempts_t *a)
+lw_retry_verdict_kind_t lw_retry_verdict_silent(const lw_attempts_t *a)
 {
 	if (!a->idempotent || !a->body_kept || a->left_ms < LEFT_MIN_MS)
 		return LW_VERDICT_FAIL;
--- a/src/retryrule.h
+++ b/src/retryrule.h
@@ -11,7 +11,7 @@
 
 #include "call.h"
 
-typedef enum lw_verdict {
+typedef enum lw_retry_verdict_kind {
 	LW_VERDICT_RETRY_OTHER, /* try another backend server; not counted as a retry */
 	LW_VERDICT_RETRY_OTHER_COUNTED, /* the same, if the retry allowance permits */
 	LW_VERDICT_RESEND_SAME, /* resend to a server that had it; the undelivered try was counted */
@@ -19,7 +19,7 @@
 	LW_VERDICT_REFUSE, /* not executed: the caller may retry */
 	LW_VERDICT_FAIL, /* it may have been executed */
 	LW_VERDICT_TIMEOUT, /* it may have been executed and its deadline has passed */
-} lw_verdict_t;
+} lw_retry_verdict_kind_t;
 
 /* What is known of the attempts of one request. */
 typedef struct lw_attempts {
@@ -51,9 +51,9 @@
  */
 #define LW_RESENDS_BROKEN_MAX 2
 
-lw_verdict_t lw_retry_verdict(const lw_attempts_t *a, lw_fail_t why);
-lw_verdict_t lw_retry_final_verdict(const lw_attempts_t *a, lw_fail_t why);
-lw_verdict_t lw_retry_verdict_silent(const lw_attempts_t *a);
-lw_verdict_t lw_retry_verdict_status(const lw_attempts_t *a, uint32_t status);
+lw_retry_verdict_kind_t lw_retry_verdict(const lw_attempts_t *a, lw_fail_t why);
+lw_retry_verdict_kind_t lw_retry_final_verdict(const lw_attempts_t *a, lw_fail_t why);
+lw_retry_verdict_kind_t lw_retry_verdict_silent(const lw_attempts_t *a);
+lw_retry_verdict_kind_t lw_retry_verdict_status(const lw_attempts_t *a, uint32_t status);
 
 #endif
--- a/src/simfleet.c
+++ b/src/simfleet.c
@@ -192,7 +192,7 @@
 static void on_answer(run_t *r, const lw_simevent_t *e)
 {
 	req_t *q = e->req;
-	lw_verdict_t v;
+	lw_retry_verdict_kind_t v;
 
 	if (q->finished)
 		return;
