--- a/src/exchadmit.c
+++ b/src/exchadmit.c
@@ -156,7 +156,7 @@
 	x->rank = lw_rank(priority, lw_str_c(x->request_id));
 	x->target_ms = r->target_ms;
 	x->attempts.idempotent = r->idempotent;
-	x->attempts.max_given = r->max_attempts;
+	x->attempts.max_reached = r->max_attempts;
 	x->service = lw_place_service(&e->place, lw_fleet_route_next(r));
 	if (org) {
 		lw_str_copy(x->org, sizeof(x->org), lw_str_c(org->name));
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -101,7 +101,7 @@
 	       "id=%s route=%s org=%s service=%s config=%llu rank=%u status=%u why=%s given=%u handed_back=%u maybe_ran=%d after_ms=%u retry_after_ms=%u last=%s server_limit=%d print=%016llx",
 	       x->request_id, x->route, x->org[0] ? x->org : "none", x->service->name,
 	       (unsigned long long)x->engine->conf->version, x->rank, status, lw_fail_name(why),
-	       x->attempts.given, x->attempts.handed_back, x->attempts.maybe_ran,
+	       x->attempts.reached, x->attempts.undelivered, x->attempts.maybe_executed,
 	       (uint32_t)((x->engine->evloop->now_us - x->started_us) / 1000), retry_after_ms,
 	       x->last_server[0] ? x->last_server : "none", x->rate_limited,
 	       (unsigned long long)x->print.value.whole);
@@ -158,7 +158,7 @@
 /* the process exits: the caller is told whether the request may have been executed */
 static void end_for_exit(lw_exchange_t *x)
 {
-	x->attempts.maybe_ran |= x->call != NULL;
+	x->attempts.maybe_executed |= x->call != NULL;
 	lw_exchange_abandon_call(x);
 	if (x->answering)
 		lw_exchange_after_failure(x, LW_FAIL_LEAVING);
@@ -187,7 +187,7 @@
 		lw_exchange_after_failure(x, LW_FAIL_TIMEOUT);
 		return;
 	}
-	x->attempts.maybe_ran |= in_progress;
+	x->attempts.maybe_executed |= in_progress;
 	lw_exchange_answer_verdict(x, LW_VERDICT_TIMEOUT, LW_FAIL_TIMEOUT);
 }
 
--- a/src/exchattempt.c
+++ b/src/exchattempt.c
@@ -35,7 +35,7 @@
 	       "id=%s route=%s after=%s server=%s busy=%u limit=%u news_ms=%llu given=%u handed_back=%u left_ms=%u",
 	       x->request_id, x->route, lw_fail_name(last), h->id, h->load.running + h->load.queued,
 	       h->load.limit, h->load_us ? (unsigned long long)((now - h->load_us) / 1000) : 0,
-	       x->attempts.given, x->attempts.handed_back,
+	       x->attempts.reached, x->attempts.undelivered,
 	       lw_exchange_remaining_ms(x, x->give_up_us));
 }
 
@@ -70,7 +70,7 @@
 	 * been executed can only be answered with 502. Both may therefore be queued for all the
 	 * time that is left.
 	 */
-	bool may_wait = x->nested || x->attempts.maybe_ran;
+	bool may_wait = x->nested || x->attempts.maybe_executed;
 
 	req->head = (lw_str_t){ lw_bytebuf_head(&x->head), lw_bytebuf_len(&x->head) };
 	req->request_id = lw_str_c(x->request_id);
@@ -80,7 +80,7 @@
 	req->queue_ms = may_wait ? left_ms : x->target_ms * QUEUE_NEW_PERCENT / 100;
 	req->target_left_ms = lw_exchange_remaining_ms(x, x->target_us);
 	req->rank = x->rank;
-	req->repeat = x->repeat || x->attempts.given;
+	req->repeat = x->repeat || x->attempts.reached;
 	req->notice = x->host->load.notice;
 }
 
@@ -122,11 +122,11 @@
 	uint32_t percent = x->nested ? HOLD_NESTED_PERCENT : HOLD_NEW_PERCENT;
 	uint64_t hold_us = (uint64_t)x->target_ms * percent * 10;
 
-	if (x->attempts.given ||
+	if (x->attempts.reached ||
 	    x->engine->evloop->now_us - x->started_us + HOLD_INTERVAL_MS * 1000 >= hold_us)
 		return false;
 	x->hold_reason = last;
-	x->attempts.handed_back = 0;
+	x->attempts.undelivered = 0;
 	ev_timer_init(&x->hold, lw_exchange_on_hold_timer, HOLD_INTERVAL_MS / 1000.0, 0);
 	x->hold.data = x;
 	ev_timer_start(x->engine->evloop->loop, &x->hold);
@@ -151,7 +151,7 @@
  */
 static bool may_retry_all_hosts(const lw_exchange_t *x, lw_fail_t last)
 {
-	return last == LW_FAIL_UNSENT && !x->attempts.given && !x->retried_all_hosts;
+	return last == LW_FAIL_UNSENT && !x->attempts.reached && !x->retried_all_hosts;
 }
 
 /* every host has been tried */
@@ -228,7 +228,7 @@
 void lw_exchange_attempt_at(lw_exchange_t *x, lw_place_host_t *host, lw_fail_t last)
 {
 	x->host = host;
-	if (x->tried.n || x->attempts.given)
+	if (x->tried.n || x->attempts.reached)
 		lw_exchange_log_retry(x, last);
 	lw_place_add_tried(&x->tried, x->host);
 	x->resending = false;
--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -71,12 +71,12 @@
 		return;
 	}
 	if (!lw_fail_reached_server(why))
-		x->attempts.handed_back++;
+		x->attempts.undelivered++;
 	else if (!x->resending)
-		x->attempts.given++;
+		x->attempts.reached++;
 	x->resending = false;
 	if (!lw_fail_not_executed(why))
-		x->attempts.maybe_ran = true;
+		x->attempts.maybe_executed = true;
 	if (why != LW_FAIL_BROKEN || !lw_exchange_wait_for_crash_reports(x))
 		lw_exchange_retry_or_answer(x, why);
 }
@@ -225,7 +225,7 @@
 {
 	lw_attempts_t a = x->attempts;
 
-	a.given += !x->resending;
+	a.reached += !x->resending;
 	a.left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	a.body_kept = x->body_base == 0;
 	return lw_retry_verdict_status(&a, status);
@@ -247,8 +247,8 @@
 		return false;
 	if (!take_retry(x))
 		return false;
-	x->attempts.given += !x->resending;
-	x->attempts.maybe_ran = true;
+	x->attempts.reached += !x->resending;
+	x->attempts.maybe_executed = true;
 	if (fin)
 		lw_exchange_attempt_done(x, false);
 	else
@@ -324,8 +324,8 @@
 {
 	if (!take_retry(x))
 		return;
-	x->attempts.given += !x->resending;
-	x->attempts.maybe_ran = true;
+	x->attempts.reached += !x->resending;
+	x->attempts.maybe_executed = true;
 	lw_exchange_abandon_call(x);
 	if (v == LW_VERDICT_RETRY_OTHER_COUNTED)
 		lw_exchange_attempt_at(x, room, LW_FAIL_BROKEN);
--- a/src/exchquarantine.c
+++ b/src/exchquarantine.c
@@ -19,7 +19,7 @@
 						      x->engine->evloop->now_us);
 	lw_log(LW_LOG_request_held, "id=%s route=%s print=%016llx for_ms=%u given=%u",
 	       x->request_id, x->route, (unsigned long long)x->print.value.whole,
-	       x->min_retry_after_ms, x->attempts.given);
+	       x->min_retry_after_ms, x->attempts.reached);
 	lw_exchange_answer_verdict(x, lw_retry_final_verdict(&x->attempts, LW_FAIL_HELD),
 				   LW_FAIL_HELD);
 }
@@ -33,7 +33,7 @@
 	const lw_suspect_t *s = lw_quarantine_find(x->engine->quarantine, &x->print.value);
 	lw_place_host_t *host = NULL;
 
-	if (!x->tried.n && !x->attempts.given)
+	if (!x->tried.n && !x->attempts.reached)
 		host = lw_place_pick_trial(x->service, s->print.whole, s->crashed_process,
 					   s->ncrashes, x->engine->evloop->now_us);
 	if (host)
--- a/src/retryrule.c
+++ b/src/retryrule.c
@@ -9,13 +9,13 @@
 {
 	if (why == LW_FAIL_TIMEOUT)
 		return LW_VERDICT_TIMEOUT;
-	if (!lw_fail_not_executed(why) || a->maybe_ran)
+	if (!lw_fail_not_executed(why) || a->maybe_executed)
 		return LW_VERDICT_FAIL;
 	return LW_VERDICT_REFUSE;
 }
 
 /*
- * Whether a call that has been given to as many servers as its route allows
+ * Whether a call that has reached as many servers as its route allows
  * may be resent to one of them. It may if the server shed it, or if the
  * answer was lost or corrupted and the call may be executed twice.
  */
@@ -34,11 +34,11 @@
  */
 static lw_retry_verdict_kind_t after_undelivered(const lw_attempts_t *a, lw_fail_t why)
 {
-	lw_fail_t before = a->maybe_ran ? LW_FAIL_BROKEN : LW_FAIL_SHED;
+	lw_fail_t before = a->maybe_executed ? LW_FAIL_BROKEN : LW_FAIL_SHED;
 
-	if (a->handed_back > LW_UNDELIVERED_MAX)
+	if (a->undelivered > LW_UNDELIVERED_MAX)
 		return lw_retry_final_verdict(a, why);
-	if (a->given < a->max_given)
+	if (a->reached < a->max_reached)
 		return LW_VERDICT_RETRY_OTHER;
 	return may_resend(a, before) ? LW_VERDICT_RESEND_SAME : lw_retry_final_verdict(a, why);
 }
@@ -47,7 +47,7 @@
  * lw_retry_verdict() - what follows a call that failed with @why; @a includes
  * that call. An attempt that reached no backend server is retried at another
  * one without being counted, because no work was done for it yet. Once the
- * request has been given to as many servers as its route allows, only one of
+ * request has reached as many servers as its route allows, only one of
  * those may get it. The route limits the number of backend servers that get a
  * request; a server that shed the request has not executed it and may get it
  * again. This is for calls made by requests in execution: a user request can
@@ -65,7 +65,7 @@
 		return lw_retry_final_verdict(a, why);
 	if (!lw_fail_reached_server(why))
 		return after_undelivered(a, why);
-	if (a->given < a->max_given)
+	if (a->reached < a->max_reached)
 		return LW_VERDICT_RETRY_OTHER_COUNTED;
 	return may_resend(a, why) ? LW_VERDICT_RESEND_SAME_COUNTED : lw_retry_final_verdict(a, why);
 }
@@ -80,7 +80,7 @@
 
 	if (!failed || !a->idempotent || !a->body_kept || a->left_ms < LEFT_MIN_MS)
 		return LW_VERDICT_FAIL;
-	if (a->given < a->max_given)
+	if (a->reached < a->max_reached)
 		return LW_VERDICT_RETRY_OTHER_COUNTED;
 	return may_resend(a, LW_FAIL_BROKEN) ? LW_VERDICT_RESEND_SAME_COUNTED : LW_VERDICT_FAIL;
 }
@@ -93,7 +93,7 @@
 {
 	if (!a->idempotent || !a->body_kept || a->left_ms < LEFT_MIN_MS)
 		return LW_VERDICT_FAIL;
-	if (a->given + 1 < a->max_given)
+	if (a->reached + 1 < a->max_reached)
 		return LW_VERDICT_RETRY_OTHER_COUNTED;
 	return may_resend(a, LW_FAIL_BROKEN) ? LW_VERDICT_RESEND_SAME_COUNTED : LW_VERDICT_FAIL;
 }
--- a/src/retryrule.h
+++ b/src/retryrule.h
@@ -26,10 +26,10 @@
 	bool idempotent;
 	bool nested; /* a request in execution made this call and fails with it */
 	bool body_kept; /* the body is buffered and can be resent */
-	bool maybe_ran; /* the outcome of an attempt is unknown */
-	uint32_t given; /* backend servers that the request was given to */
-	uint32_t max_given; /* limit of the route */
-	uint32_t handed_back; /* attempts that reached no backend server */
+	bool maybe_executed; /* the outcome of an attempt is unknown */
+	uint32_t reached; /* backend servers that the request reached */
+	uint32_t max_reached; /* limit of the route */
+	uint32_t undelivered; /* attempts that reached no backend server */
 	uint32_t resent; /* times it was resent to a server that had it before */
 	uint32_t left_ms; /* time the caller has left */
 } lw_attempts_t;
--- a/src/simfleet.c
+++ b/src/simfleet.c
@@ -46,7 +46,7 @@
 	q->begun_us = r->now;
 	q->first_us = r->now;
 	q->attempts.idempotent = k->idempotent;
-	q->attempts.max_given = 2;
+	q->attempts.max_reached = 2;
 	q->attempts.body_kept = true;
 	q->give_up_us = r->now + (uint64_t)k->timeout_ms * 1000;
 	q->target_us = parent ? parent->target_us : r->now + (uint64_t)k->target_ms * 1000;
@@ -204,7 +204,7 @@
 	}
 	q->attempts.left_ms = lw_sim_remaining_ms(r, q);
 	if (e->why == LW_FAIL_NONE) {
-		q->attempts.given++;
+		q->attempts.reached++;
 		if (!e->load.call_failed &&
 		    lw_retry_verdict_status(&q->attempts, 500) == LW_VERDICT_RETRY_OTHER_COUNTED &&
 		    take_retry(r, q))
@@ -214,9 +214,9 @@
 		return;
 	}
 	if (!lw_fail_reached_server(e->why))
-		q->attempts.handed_back++;
+		q->attempts.undelivered++;
 	else if (!q->attempts.resent)
-		q->attempts.given++;
+		q->attempts.reached++;
 	v = lw_retry_verdict(&q->attempts, e->why);
 	if (v == LW_VERDICT_RETRY_OTHER ||
 	    (v == LW_VERDICT_RETRY_OTHER_COUNTED && take_retry(r, q)))
--- a/tests/decide_retry.c
+++ b/tests/decide_retry.c
@@ -91,10 +91,10 @@
 		.nested = has(a, "nested"),
 		.resent = has(a, "resent") ? LW_RESENDS_SHED_MAX : 0,
 		.body_kept = has(a, "kept"),
-		.maybe_ran = has(a, "maybe_ran"),
-		.given = (uint32_t)num(a, 2),
-		.max_given = (uint32_t)num(a, 3),
-		.handed_back = (uint32_t)num(a, 4),
+		.maybe_executed = has(a, "maybe_ran"),
+		.reached = (uint32_t)num(a, 2),
+		.max_reached = (uint32_t)num(a, 3),
+		.undelivered = (uint32_t)num(a, 4),
 		.left_ms = (uint32_t)num(a, 5),
 	};
 
