--- a/src/log.h
+++ b/src/log.h
@@ -81,7 +81,7 @@
 	X(1315, over_limit, LOG_INFO,                                                              \
 	  "a request is refused, as its organisation has reached its limit")                       \
 	X(1316, quota_alone, LOG_NOTICE,                                                           \
-	  "limits are enforced by this node alone, or again with the quota coordinators")          \
+	  "limits are enforced with this node's own part, or again with the quota coordinators")   \
 	X(1602, suspect_changed, LOG_NOTICE,                                                       \
 	  "a request during which backend servers crashed is now isolated, refused or cleared")    \
 	X(1400, peer_suspected, LOG_WARNING,                                                       \
--- a/src/proxystats.c
+++ b/src/proxystats.c
@@ -119,7 +119,7 @@
 	counter(f, "lw_retries_denied_total", "retries denied by the retry limit",
 		e->retries_denied);
 	counter(f, "lw_handed_back_total",
-		"requests returned unexecuted by a backend server and sent to another one",
+		"requests sent to another backend server because none had received them",
 		e->handed_back);
 	counter(f, "lw_not_identified_total", "requests without a key or with an unknown key",
 		e->not_identified);
