--- a/src/exchadmit.c
+++ b/src/exchadmit.c
@@ -156,7 +156,7 @@
 	x->rank = lw_rank(priority, lw_str_c(x->request_id));
 	x->target_ms = r->target_ms;
 	x->attempts.idempotent = r->idempotent;
-	x->attempts.max_given = r->max_attempts;
+	x->attempts.max_reached = r->max_attempts;
 	x->service = lw_place_service(&e->place, lw_fleet_route_next(r));
 	if (org) {
 		lw_str_copy(x->org, sizeof(x->org), lw_str_c(org->name));
@@ -303,8 +303,10 @@
 	if (!resolve_route(x, req, &org) || !admit(x, org))
 		return NULL;
 	compose_head(x, req->head);
-	lw_retrylimit_count_request(&x->service->retries, &e->place.terms, e->evloop->now_us);
+	lw_retrylimit_count_request(&x->service->retries, &e->place.retry_allowance,
+				    e->evloop->now_us);
 	if (x->repeat)
-		lw_retrylimit_count_retry(&x->service->retries, &e->place.terms, e->evloop->now_us);
+		lw_retrylimit_count_retry(&x->service->retries, &e->place.retry_allowance,
+					  e->evloop->now_us);
 	return x;
 }
--- a/src/exchoutcome.c
+++ b/src/exchoutcome.c
@@ -18,7 +18,8 @@
 		.used_below = lw_overload_retry_used(e->overload, x->route),
 	};
 
-	if (lw_retrylimit_take(&x->service->retries, &e->place.terms, &at, e->evloop->now_us)) {
+	if (lw_retrylimit_take(&x->service->retries, &e->place.retry_allowance, &at,
+			       e->evloop->now_us)) {
 		e->stats.retries++;
 		return true;
 	}
@@ -70,12 +71,12 @@
 		return;
 	}
 	if (!lw_fail_reached_server(why))
-		x->attempts.handed_back++;
+		x->attempts.undelivered++;
 	else if (!x->resending)
-		x->attempts.given++;
+		x->attempts.reached++;
 	x->resending = false;
 	if (!lw_fail_not_executed(why))
-		x->attempts.maybe_ran = true;
+		x->attempts.maybe_executed = true;
 	if (why != LW_FAIL_BROKEN || !lw_exchange_wait_for_crash_reports(x))
 		lw_exchange_retry_or_answer(x, why);
 }
@@ -86,7 +87,7 @@
  */
 void lw_exchange_retry_or_answer(lw_exchange_t *x, lw_fail_t why)
 {
-	lw_verdict_t v;
+	lw_retry_verdict_kind_t v;
 
 	x->attempts.left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	x->attempts.body_kept = x->body_base == 0;
@@ -111,8 +112,8 @@
 static void apply_load(lw_exchange_t *x, const lw_load_t *load, bool served)
 {
 	lw_engine_t *e = x->engine;
-	uint32_t used = lw_retrylimit_used(&x->service->retries, &e->place.terms, e->place.nsharing,
-					   e->evloop->now_us);
+	uint32_t used = lw_retrylimit_used(&x->service->retries, &e->place.retry_allowance,
+					   e->place.nsharing, e->evloop->now_us);
 	lw_load_t path = *load;
 
 	if (x->host && lw_place_load_reported(x->host, load, e->evloop->now_us))
@@ -220,11 +221,11 @@
 }
 
 /* verdict on a server's answer with the failure @status */
-static lw_verdict_t verdict_for_answer(const lw_exchange_t *x, uint32_t status)
+static lw_retry_verdict_kind_t verdict_for_answer(const lw_exchange_t *x, uint32_t status)
 {
 	lw_attempts_t a = x->attempts;
 
-	a.given += !x->resending;
+	a.reached += !x->resending;
 	a.left_ms = lw_exchange_remaining_ms(x, x->give_up_us);
 	a.body_kept = x->body_base == 0;
 	return lw_retry_verdict_status(&a, status);
@@ -236,7 +237,7 @@
  */
 static bool retry_after_answer(lw_exchange_t *x, uint32_t status, bool fin)
 {
-	lw_verdict_t v = verdict_for_answer(x, status);
+	lw_retry_verdict_kind_t v = verdict_for_answer(x, status);
 	lw_place_query_t req = lw_exchange_place_query(x);
 
 	if (v == LW_VERDICT_FAIL)
@@ -246,8 +247,8 @@
 		return false;
 	if (!take_retry(x))
 		return false;
-	x->attempts.given += !x->resending;
-	x->attempts.maybe_ran = true;
+	x->attempts.reached += !x->resending;
+	x->attempts.maybe_executed = true;
 	if (fin)
 		lw_exchange_attempt_done(x, false);
 	else
@@ -318,13 +319,13 @@
 /*
  * abandons the call in progress for another attempt: @v says where, @room is a host that has room
  */
-static void try_elsewhere(lw_exchange_t *x, lw_verdict_t v, lw_place_host_t *room,
+static void try_elsewhere(lw_exchange_t *x, lw_retry_verdict_kind_t v, lw_place_host_t *room,
 			  const lw_place_query_t *req)
 {
 	if (!take_retry(x))
 		return;
-	x->attempts.given += !x->resending;
-	x->attempts.maybe_ran = true;
+	x->attempts.reached += !x->resending;
+	x->attempts.maybe_executed = true;
 	lw_exchange_abandon_call(x);
 	if (v == LW_VERDICT_RETRY_OTHER_COUNTED)
 		lw_exchange_attempt_at(x, room, LW_FAIL_BROKEN);
@@ -344,7 +345,7 @@
 	lw_place_query_t req = lw_exchange_place_query(x);
 	const lw_place_host_t *again = lw_place_pick_resend(x->service, &x->tried, &req);
 	lw_place_host_t *room = NULL;
-	lw_verdict_t v;
+	lw_retry_verdict_kind_t v;
 
 	if (x->tried.n < LW_PLACE_TRIED_MAX)
 		room = lw_place_pick_room(x->service, &x->tried, &req, confirmed);
