--- a/src/lwnode.c
+++ b/src/lwnode.c
@@ -1,5 +1,5 @@
 /*
- * lwnode: the sidecar process of a backend server. It reads its settings
+ * lwnode: the node beside a backend server, on its host. It reads its settings
  * file, applies overrides from the command line and runs the node until
  * SIGTERM, upon which it drains and exits.
  */
--- a/src/lwproxy.c
+++ b/src/lwproxy.c
@@ -1,6 +1,6 @@
 /*
- * lwproxy: the streaming node, a sidecar process of a backend server. It
- * accepts the requests that callers and the backend server send on its host
+ * lwproxy: the streaming node beside a backend server, on its host. It
+ * accepts the requests that callers and the backend server send on that host
  * and forwards them to the nodes of the servers that can execute them.
  */
 #include <signal.h>
